--- a/internal/quorum/election.go
+++ b/internal/quorum/election.go
@@ -8,14 +8,13 @@
 	}
 }
 
-// hasten shortens the wait of a member that has just started: two heartbeats, and
-// as much again by lot as half an election timeout.
+// shortenFirstElection shortens the election timeout of a member that has just
+// started to two heartbeats plus a random part of up to half an election timeout.
 //
-// After all members were stopped at once nobody leads, and each would wait for a
-// whole election timeout, in which nothing is acknowledged. If a leader does live,
-// its heartbeat arrives first, and a pre-vote that is asked all the same is
-// refused by those who hear it.
-func (n *Node) hasten() {
+// After a stop of all members there is no leader, and nothing is acknowledged until
+// the first election timeout expires. If a leader is alive, its heartbeat arrives
+// first, and members that receive its heartbeats reject a pre-vote.
+func (n *Node) shortenFirstElection() {
 	if n.log.lastIndex() > 0 {
 		n.timeout = min(n.timeout, 2*n.config.HeartbeatTicks+n.config.Rand(n.config.ElectionTicks/2))
 	}
@@ -35,9 +34,9 @@
 	n.resetElection()
 }
 
-// campaign asks for votes. A pre-vote comes first, in which no term changes: a
-// member that was cut off would otherwise raise its term again and again and
-// depose a working leader when it is back.
+// campaign requests votes. A pre-vote, which changes no term, comes first: without
+// it a partitioned member would keep raising its term and depose a working leader
+// when it reconnects.
 func (n *Node) campaign(role Role, transfer bool) {
 	n.role = role
 	n.leader = None
@@ -64,8 +63,9 @@
 	n.countVotes()
 }
 
-// requestVote sends a vote request after this member's own vote is synced. A
-// candidate that forgot it in a restart could vote for another in the term.
+// requestVote sends a vote request, a real one only after this member's own vote is
+// synced: a candidate that lost its vote in a restart could vote for another member
+// in the same term.
 func (n *Node) requestVote(request Message) {
 	if request.Type == MsgVote {
 		n.afterSync = append(n.afterSync, request)
@@ -127,8 +127,9 @@
 	}
 }
 
-// ownVoteOutstanding holds back a member that would win by its own vote alone
-// until that vote is synced; any other answer proves that it is.
+// ownVoteOutstanding reports whether this member's own vote is not yet synced. It
+// matters to a member that wins by its own vote alone; a response from another
+// member proves that the vote is synced, since requests are sent after the sync.
 func (n *Node) ownVoteOutstanding() bool {
 	return n.saved.Term != n.term || n.saved.Vote != n.config.ID
 }
@@ -141,16 +142,17 @@
 	n.reads = readQueue{}
 	n.elapsed = 0
 	n.progress = map[ID]*progress{}
-	n.recentCommit, n.earlierCommit, n.sinceMark = n.log.commit, n.log.commit, 0
-	n.adopt()
-	// Entries of earlier terms count as committed only below one of this term:
-	// a majority may hold them and a later leader still overwrite them.
+	n.recentCommit, n.earlierCommit, n.sinceSample = n.log.commit, n.log.commit, 0
+	n.syncProgress()
+	// Entries of earlier terms are committed only through a later entry of this
+	// term: a later leader may overwrite them even if a majority holds them.
 	n.append(Entry{Kind: EntryBlank})
 }
 
-// tickLeader also steps down when no majority was heard within the lease. A
-// leader that is cut off silently would otherwise take proposals for hours that
-// can never commit, and its callers would wait instead of trying elsewhere.
+// tickLeader sends heartbeats, and steps down if no majority responded within an
+// election timeout. Otherwise a leader in a silent network partition could accept
+// proposals for hours that never commit, while its callers wait instead of trying
+// another member.
 func (n *Node) tickLeader() {
 	for _, id := range n.memberIDs() {
 		if p := n.progress[id]; p != nil && id != n.config.ID {
@@ -161,7 +163,7 @@
 		n.becomeFollower(n.term, None)
 		return
 	}
-	n.markCommit()
+	n.sampleCommit()
 	if n.transferee != None && n.elapsed >= n.config.ElectionTicks {
 		n.transferee = None
 	}
@@ -170,8 +172,8 @@
 	}
 }
 
-// Transfer hands leadership to a voter as soon as it holds the whole log. It is
-// given up after an election timeout.
+// Transfer transfers leadership to a voter as soon as it holds the whole log. The
+// attempt is abandoned after an election timeout.
 func (n *Node) Transfer(to ID) error {
 	if n.role != Leader {
 		return ErrNotLeader
--- a/internal/quorum/fault_test.go
+++ b/internal/quorum/fault_test.go
@@ -9,15 +9,15 @@
 	"pgregory.net/rapid"
 )
 
-// chooser makes the choices of a run: rapid's, so that a failing run shrinks,
-// or those of a seed.
+// chooser makes the random choices of a simulation, either by rapid, so that a failing
+// run shrinks, or from a seed.
 type chooser interface{ Intn(n int) int }
 
 type rapidChooser struct{ t *rapid.T }
 
 func (c rapidChooser) Intn(n int) int { return rapid.IntRange(0, n-1).Draw(c.t, "choice") }
 
-// disk is what a member finds after a restart: only what was synced.
+// disk holds the synced state of a member, which it reads after a restart.
 type disk struct {
 	state    HardState
 	snapshot SnapshotMeta
@@ -41,36 +41,37 @@
 	}
 }
 
-// runtimeGuards may be taken away to show that the checks find the fault.
+// guards are protections that a test can turn off to show that the checks detect the
+// resulting fault.
 type guards struct {
-	ackAfterSync bool // answers wait for the disk
-	ownIdentity  bool // a blank disk is a new member
+	ackAfterSync bool // responses wait for the sync
+	ownIdentity  bool // a blank disk gets a new member ID
 }
 
 var allGuards = guards{ackAfterSync: true, ownIdentity: true}
 
-// run drives a group through lost, delayed, doubled and reordered messages,
-// restarts and blank disks, and notes the first broken promise.
-type run struct {
-	choose    chooser
-	guards    guards
-	nodes     map[ID]*Node
-	disks     map[ID]*disk
-	lost      map[ID]bool // disks that are gone
-	cut       ID          // member that no message reaches or leaves
-	stuck     ID          // member whose disk does not answer
-	nextID    ID
-	network   []Message
-	leaders   map[uint64]ID    // by term
-	committed map[uint64]Entry // by index
-	highest   uint64           // highest index applied anywhere
-	reads     map[uint64]uint64
-	nextRead  uint64
-	broken    error
+// simulation runs a group through lost, delayed, duplicated and reordered messages,
+// restarts and blank disks, and records the first violated invariant.
+type simulation struct {
+	choose      chooser
+	guards      guards
+	nodes       map[ID]*Node
+	disks       map[ID]*disk
+	lost        map[ID]bool // members whose disk was lost
+	partitioned ID          // member whose messages are all dropped, in both directions
+	stalled     ID          // member whose disk does not respond
+	nextID      ID
+	network     []Message
+	leaders     map[uint64]ID    // by term
+	committed   map[uint64]Entry // by index
+	highest     uint64           // highest index applied anywhere
+	reads       map[uint64]uint64
+	nextRead    uint64
+	violation   error
 }
 
-func newRun(choose chooser, g guards, voters int) *run {
-	r := &run{
+func newSimulation(choose chooser, g guards, voters int) *simulation {
+	r := &simulation{
 		choose: choose, guards: g, nodes: map[ID]*Node{}, disks: map[ID]*disk{}, lost: map[ID]bool{},
 		leaders: map[uint64]ID{}, committed: map[uint64]Entry{}, reads: map[uint64]uint64{}, nextID: ID(voters) + 1,
 	}
@@ -85,25 +86,25 @@
 	return r
 }
 
-func (r *run) breaks(format string, args ...any) {
-	if r.broken == nil {
-		r.broken = fmt.Errorf(format, args...)
+func (r *simulation) violate(format string, args ...any) {
+	if r.violation == nil {
+		r.violation = fmt.Errorf(format, args...)
 	}
 }
 
-func (r *run) restart(id ID) {
+func (r *simulation) restart(id ID) {
 	d := r.disks[id]
 	config := testConfig(id)
 	config.Rand = r.choose.Intn
 	node, err := New(config, Restored{HardState: d.state, Snapshot: d.snapshot, Entries: slices.Clone(d.entries)})
 	if err != nil {
-		r.breaks("member %v cannot restart: %v", id, err)
+		r.violate("member %v cannot restart: %v", id, err)
 		return
 	}
 	r.nodes[id] = node
 }
 
-func (r *run) ids() []ID {
+func (r *simulation) ids() []ID {
 	var ids []ID
 	for id := range r.nodes {
 		ids = append(ids, id)
@@ -112,13 +113,13 @@
 	return ids
 }
 
-func (r *run) pick() ID {
+func (r *simulation) pick() ID {
 	ids := r.ids()
 	return ids[r.choose.Intn(len(ids))]
 }
 
-// leader gives the leader of the highest term, None if there is none.
-func (r *run) leader() *Node {
+// leader returns the leader of the highest term, nil if there is none.
+func (r *simulation) leader() *Node {
 	var found *Node
 	for _, id := range r.ids() {
 		if n := r.nodes[id]; n.IsLeader() && (found == nil || n.Term() > found.Term()) {
@@ -128,14 +129,14 @@
 	return found
 }
 
-// collect takes what waits for no disk.
-func (r *run) collect(id ID) {
+// collect takes a member's outbox and checks its reads and its leadership.
+func (r *simulation) collect(id ID) {
 	n := r.nodes[id]
 	outbox := n.TakeOutbox()
 	r.network = append(r.network, outbox.Messages...)
 	for _, confirmed := range outbox.Reads {
 		if confirmed.Index < r.reads[confirmed.ID] {
-			r.breaks("read at %d confirmed after %d was applied elsewhere", confirmed.Index, r.reads[confirmed.ID])
+			r.violate("read at %d confirmed after %d was applied elsewhere", confirmed.Index, r.reads[confirmed.ID])
 		}
 	}
 	for _, to := range outbox.Snapshots {
@@ -147,13 +148,13 @@
 		return
 	}
 	if other, known := r.leaders[n.Term()]; known && other != id {
-		r.breaks("members %v and %v both lead in term %d", other, id, n.Term())
+		r.violate("members %v and %v both lead in term %d", other, id, n.Term())
 	}
 	r.leaders[n.Term()] = id
 }
 
-// work does one Ready. With crash, the process ends before the sync.
-func (r *run) work(id ID, crash bool) {
+// work processes one Ready. With crash, the process ends before the sync.
+func (r *simulation) work(id ID, crash bool) {
 	n := r.nodes[id]
 	ready, ok := n.Ready()
 	if ok && !r.guards.ackAfterSync {
@@ -177,34 +178,35 @@
 	r.collect(id)
 }
 
-func (r *run) applied(id ID, entry Entry) {
+func (r *simulation) applied(id ID, entry Entry) {
 	known, ok := r.committed[entry.Index]
 	if ok && (known.Term != entry.Term || string(known.Data) != string(entry.Data)) {
-		r.breaks("member %v applied %q of term %d at %d where %q of term %d was committed",
+		r.violate("member %v applied %q of term %d at %d where %q of term %d was committed",
 			id, entry.Data, entry.Term, entry.Index, known.Data, known.Term)
 	}
 	r.committed[entry.Index] = entry
 	r.highest = max(r.highest, entry.Index)
 }
 
-func (r *run) deliver(at int) {
+func (r *simulation) deliver(at int) {
 	m := r.network[at]
 	r.network[at] = r.network[len(r.network)-1]
 	r.network = r.network[:len(r.network)-1]
 	r.receive(m)
 }
 
-func (r *run) receive(m Message) {
+func (r *simulation) receive(m Message) {
 	n := r.nodes[m.To]
-	if n == nil || r.cut != None && (m.To == r.cut || m.From == r.cut) {
+	if n == nil || r.partitioned != None && (m.To == r.partitioned || m.From == r.partitioned) {
 		return
 	}
 	n.Step(m)
 	r.collect(m.To)
 }
 
-// flow delivers everything that is not cut off, in order, with all disks working.
-func (r *run) flow() {
+// deliverAll delivers all messages in order, except those of a partitioned member, and
+// does the work of all members but the one with a stalled disk.
+func (r *simulation) deliverAll() {
 	for range 50 {
 		sent := r.network
 		r.network = nil
@@ -212,7 +214,7 @@
 			r.receive(m)
 		}
 		for _, id := range r.ids() {
-			if id != r.stuck {
+			if id != r.stalled {
 				r.work(id, false)
 			}
 		}
@@ -222,14 +224,14 @@
 	}
 }
 
-func (r *run) tick(id ID) {
+func (r *simulation) tick(id ID) {
 	r.nodes[id].Tick()
 	r.collect(id)
 }
 
-// loseDisk takes a disk away if the tolerance allows it, and starts its VM with
-// a blank one.
-func (r *run) loseDisk() {
+// loseDisk removes a member's disk if the tolerance allows it, and starts its VM with a
+// blank one.
+func (r *simulation) loseDisk() {
 	leader := r.leader()
 	if leader == nil || leader.Status().Tolerance < 1 || leader.log.membershipIndex() > leader.log.commit {
 		return
@@ -256,8 +258,9 @@
 	r.restart(id)
 }
 
-// repair lets a leader make the next membership change.
-func (r *run) repair() {
+// repair makes the leader propose the next membership change: promote a learner, remove
+// a lost member, or else add a learner.
+func (r *simulation) repair() {
 	leader := r.leader()
 	if leader == nil {
 		return
@@ -276,9 +279,8 @@
 	}
 }
 
-// shuffle lets any member that takes itself for the leader add a member or
-// remove one that works.
-func (r *run) shuffle() {
+// shuffle makes any member that believes it leads add a member or remove a working one.
+func (r *simulation) shuffle() {
 	id, other := r.pick(), r.pick()
 	n := r.nodes[id]
 	change := Change{Kind: AddLearner, Member: Member{ID: other}}
@@ -298,11 +300,11 @@
 	}
 }
 
-func (r *run) step(count int) {
+func (r *simulation) step(count int) {
 	switch action := r.choose.Intn(20); {
 	case action < 5 && len(r.network) > 0:
 		r.deliver(r.choose.Intn(len(r.network)))
-	case action < 6 && len(r.network) > 0: // doubled
+	case action < 6 && len(r.network) > 0: // duplicated
 		r.network = append(r.network, r.network[r.choose.Intn(len(r.network))])
 	case action < 7 && len(r.network) > 0: // lost
 		at := r.choose.Intn(len(r.network))
@@ -316,13 +318,13 @@
 		r.work(r.pick(), false)
 	case action < 14:
 		id := r.pick()
-		if r.stuck != None && r.nodes[r.stuck] != nil {
-			id = r.stuck
+		if r.stalled != None && r.nodes[r.stalled] != nil {
+			id = r.stalled
 		}
 		r.work(id, true)
-		r.stuck = None
+		r.stalled = None
 	case action < 15:
-		r.flow()
+		r.deliverAll()
 	case action < 17:
 		id := r.pick()
 		_, _, _ = r.nodes[id].Propose(fmt.Append(nil, count))
@@ -344,16 +346,16 @@
 	}
 }
 
-func (r *run) rare() {
+func (r *simulation) rare() {
 	switch r.choose.Intn(10) {
 	case 0, 1, 2:
 		r.loseDisk()
 	case 3, 4:
-		r.cut = None
+		r.partitioned = None
 	case 5:
-		r.cut = r.pick()
+		r.partitioned = r.pick()
 	case 6, 7:
-		r.stuck = r.pick()
+		r.stalled = r.pick()
 	case 8:
 		id := r.pick()
 		if meta, err := r.nodes[id].Compact(r.nodes[id].Applied(), 2); err == nil {
@@ -369,52 +371,52 @@
 	}
 }
 
-func (r *run) settle(ticks int) {
+func (r *simulation) settle(ticks int) {
 	for range ticks {
 		for _, id := range r.ids() {
 			r.tick(id)
 		}
-		r.flow()
+		r.deliverAll()
 	}
 }
 
-// heal lets all messages through and expects that the group goes on, with
-// every entry that was ever committed.
-func (r *run) heal() {
-	r.cut, r.stuck = None, None
+// heal ends all faults and checks that the group accepts proposals and still holds every
+// entry that was ever committed.
+func (r *simulation) heal() {
+	r.partitioned, r.stalled = None, None
 	r.settle(150)
 	leader := r.leader()
 	if leader == nil {
-		r.breaks("no leader after all faults are over")
+		r.violate("no leader after all faults have ended")
 		return
 	}
 	if _, _, err := leader.Propose([]byte("after")); err != nil {
-		r.breaks("the leader takes no proposal: %v", err)
+		r.violate("the leader rejects a proposal: %v", err)
 		return
 	}
 	r.collect(leader.config.ID)
 	r.settle(30)
 	for _, m := range leader.Membership().Members {
 		if n := r.nodes[m.ID]; n != nil && n.log.commit != leader.log.lastIndex() {
-			r.breaks("member %v is at %d of %d after all faults are over", m.ID, n.log.commit, leader.log.lastIndex())
+			r.violate("member %v has committed %d of %d entries after all faults have ended", m.ID, n.log.commit, leader.log.lastIndex())
 		}
 	}
 	for index, entry := range r.committed {
 		if index > leader.log.offset && !leader.log.matches(index, entry.Term) {
-			r.breaks("the leader has lost the committed entry %d", index)
+			r.violate("the leader has lost the committed entry %d", index)
 		}
 	}
 }
 
-func (r *run) execute(steps int) error {
+func (r *simulation) execute(steps int) error {
 	for count := range steps {
 		r.step(count)
-		if r.broken != nil {
-			return r.broken
+		if r.violation != nil {
+			return r.violation
 		}
 	}
 	r.heal()
-	return r.broken
+	return r.violation
 }
 
 func TestPromisesUnderFaults(t *testing.T) {
@@ -422,40 +424,39 @@
 		voters := 3 + 2*rapid.IntRange(0, 1).Draw(t, "pairs")
 		seed := rapid.Int64().Draw(t, "seed")
 		choose := rand.New(rand.NewSource(seed))
-		if err := newRun(choose, allGuards, voters).execute(600); err != nil {
+		if err := newSimulation(choose, allGuards, voters).execute(600); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// The same with rapid's own choices: shorter runs, which shrink when they fail.
+// The same with choices by rapid: shorter runs, which shrink when they fail.
 func TestPromisesUnderChosenFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if err := newRun(rapidChooser{t}, allGuards, 3).execute(60); err != nil {
+		if err := newSimulation(rapidChooser{t}, allGuards, 3).execute(60); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// A member that answers before its disk has synced, or a blank disk that goes
-// on as the member it replaced, has forgotten in a restart what it promised.
-// Without each guard a promise breaks: two leaders in a term, or a committed
-// entry that is lost.
+// A member that responds before its disk has synced, or a blank disk that reuses the ID
+// of the member it replaced, loses its votes and acknowledged entries in a restart. The
+// checks must then find two leaders in one term or a lost committed entry.
 func TestPromisesBreakWithoutGuards(t *testing.T) {
 	const seeds = 300
 	for name, g := range map[string]guards{
-		"answers before the sync":    {ownIdentity: true},
-		"blank disk keeps its place": {ackAfterSync: true},
+		"responses before the sync":      {ownIdentity: true},
+		"blank disk keeps the member ID": {ackAfterSync: true},
 	} {
 		broken := 0
 		for seed := range int64(seeds) {
-			if newRun(rand.New(rand.NewSource(seed)), g, 3).execute(600) != nil {
+			if newSimulation(rand.New(rand.NewSource(seed)), g, 3).execute(600) != nil {
 				broken++
 			}
 		}
-		t.Logf("%s: %d of %d runs break a promise", name, broken, seeds)
+		t.Logf("%s: %d of %d runs violate an invariant", name, broken, seeds)
 		if broken == 0 {
-			t.Errorf("%s: no run breaks a promise, so the checks prove nothing", name)
+			t.Errorf("%s: no run violates an invariant, so the checks detect nothing", name)
 		}
 	}
 }
--- a/internal/quorum/lag.go
+++ b/internal/quorum/lag.go
@@ -1,23 +1,22 @@
 package quorum
 
-// lag counts for how long a member has lacked what its leader had committed.
+// lag counts the ticks for which a member has not applied an entry that its leader
+// had committed.
 //
-// Failure guarded against: the entries to one member are held up while heartbeats
-// reach it, over other connections or between the repeats of a lost packet. Knowing
-// its leader, it takes itself for up to date, and serves state by which changes that
-// were acknowledged long ago have not happened. The leader's commit index comes with
-// its heartbeats, also beyond what the member holds, so that the member knows what it
-// lacks.
+// Appends to a member can be delayed while heartbeats still arrive, over other
+// connections or between retransmissions of a lost packet. Such a member knows its
+// leader and would serve stale state as current. Heartbeats therefore carry the
+// leader's commit index, even beyond the member's log.
 type lag struct {
-	known  uint64 // highest commit index of a leader that was heard
-	target uint64 // what it was when the count began
-	ticks  int    // since then without having applied it
+	known  uint64 // highest commit index received from a leader
+	target uint64 // value of known when the count began
+	ticks  int    // ticks since then without having applied target
 }
 
-func (l *lag) heard(committed uint64) { l.known = max(l.known, committed) }
+func (l *lag) observe(committed uint64) { l.known = max(l.known, committed) }
 
-// tick passes one interval. A count is of one index, so that a busy group, of which a
-// member always lacks the newest entries, does not lag.
+// tick advances the count by one tick. It measures one index at a time, so that a
+// member of a busy group, which always lacks the newest entries, does not lag.
 func (l *lag) tick(applied uint64) {
 	if l.target > applied {
 		l.ticks++
@@ -27,6 +26,6 @@
 	l.ticks = 0
 }
 
-// Lag gives the ticks for which the member has lacked an entry that its leader had
-// committed before them; 0 if it lacks none, or only newer ones.
+// Lag returns the number of ticks for which this member has not applied an entry that
+// its leader had committed before; 0 if it lacks no entry or only newer ones.
 func (n *Node) Lag() int { return n.lag.ticks }
--- a/internal/quorum/log.go
+++ b/internal/quorum/log.go
@@ -5,22 +5,23 @@
 	"sort"
 )
 
-// log holds the entries after a compacted prefix, and which of them are synced
-// and committed.
+// log holds the entries after a compacted prefix and the indexes up to which they
+// are synced, committed and applied.
 type log struct {
 	snapshot SnapshotMeta // newest snapshot of this member
-	// offset and offsetTerm place the last entry that is no longer held. A few
-	// entries before the snapshot are kept for followers that lag a little.
+	// offset and offsetTerm are the index and term of the last entry that was
+	// compacted away. Some entries before the snapshot are kept for followers that
+	// lag slightly.
 	offset     uint64
 	offsetTerm uint64
 	entries    []Entry
-	// stable is the last synced index; handed is the last index given to the
-	// shell to sync.
+	// stable is the last synced index; handed is the last index returned by Ready
+	// for the caller to sync.
 	stable  uint64
 	handed  uint64
 	commit  uint64
-	applied uint64 // last index handed to the shell to apply
-	// changes are the memberships of entries after the snapshot, in order.
+	applied uint64 // last index returned by Ready for the caller to apply
+	// changes holds the memberships set by entries after the snapshot, in log order.
 	changes []SnapshotMeta
 }
 
@@ -51,7 +52,7 @@
 	return l.entries[len(l.entries)-1].Term
 }
 
-// term gives the term of the entry at index; false when it is not held.
+// term returns the term of the entry at index, and false if the log does not hold it.
 func (l *log) term(index uint64) (uint64, bool) {
 	switch {
 	case index == l.offset:
@@ -74,12 +75,12 @@
 	}
 }
 
-// truncate drops the entries from index on.
+// truncate removes the entries from index on.
 func (l *log) truncate(index uint64) {
 	if index <= l.commit {
 		panic(fmt.Sprintf("quorum: truncate at %d, which is committed (%d)", index, l.commit))
 	}
-	// A fresh slice: the shell may still be reading the old entries.
+	// Copied, because the caller may still be reading the old entries.
 	l.entries = append([]Entry(nil), l.entries[:index-l.offset-1]...)
 	l.stable = min(l.stable, index-1)
 	l.handed = min(l.handed, index-1)
@@ -88,9 +89,9 @@
 	}
 }
 
-// merge appends entries that follow a matching one. It truncates only at a true
-// conflict: an old append that arrives late must not cut off entries that a
-// newer one of the same leader has added and this member has acknowledged.
+// merge appends entries that follow a matching entry. It truncates the log only at a
+// real conflict: a delayed append must not remove entries that a newer append of the
+// same leader added and this member acknowledged.
 func (l *log) merge(entries []Entry) {
 	for i, entry := range entries {
 		if entry.Index <= l.offset || l.matches(entry.Index, entry.Term) {
@@ -120,7 +121,7 @@
 	return l.changes[len(l.changes)-1].Membership
 }
 
-// membershipAt gives the membership in force after the entry at index.
+// membershipAt returns the membership in effect after the entry at index.
 func (l *log) membershipAt(index uint64) Membership {
 	i := sort.Search(len(l.changes), func(i int) bool { return l.changes[i].Index > index })
 	if i == 0 {
@@ -129,7 +130,7 @@
 	return l.changes[i-1].Membership
 }
 
-// slice gives the entries of [from, to], no more than maxBytes but at least one.
+// slice returns the entries in [from, to], up to maxBytes but at least one.
 func (l *log) slice(from, to uint64, maxBytes int) []Entry {
 	if from > to {
 		return nil
@@ -146,8 +147,8 @@
 	return held[:len(held):len(held)]
 }
 
-// compact records a snapshot that the shell has synced and drops the entries
-// up to keepAfter.
+// compact records a snapshot that the caller has synced and removes the entries up to
+// keepAfter.
 func (l *log) compact(meta SnapshotMeta, keepAfter uint64) {
 	l.snapshot = meta
 	i := sort.Search(len(l.changes), func(i int) bool { return l.changes[i].Index > meta.Index })
@@ -160,7 +161,7 @@
 	l.offset = keepAfter
 }
 
-// reset replaces the whole log by a snapshot.
+// reset replaces the whole log with a snapshot.
 func (l *log) reset(meta SnapshotMeta) {
 	*l = log{
 		snapshot: meta, offset: meta.Index, offsetTerm: meta.Term,
@@ -168,8 +169,8 @@
 	}
 }
 
-// upToDate says whether a log that ends at (index, term) holds at least what
-// this one holds.
+// upToDate reports whether a log that ends at (index, term) is at least as up to date
+// as this one.
 func (l *log) upToDate(index, term uint64) bool {
 	return term > l.lastTerm() || term == l.lastTerm() && index >= l.lastIndex()
 }
--- a/internal/quorum/membership.go
+++ b/internal/quorum/membership.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// Member is one member of a group.
+// Member describes a member of a group: its address, its VM and whether it votes.
 type Member struct {
 	ID      ID     `cbor:"1,keyasint"`
 	VM      string `cbor:"2,keyasint,omitempty"`
 	Address string `cbor:"3,keyasint,omitempty"` // peer address, IP and port
-	Learner bool   `cbor:"4,keyasint,omitempty"` // receives the log, has no vote
-	Class   string `cbor:"5,keyasint,omitempty"` // kind of VM, by which groups choose their members
+	Learner bool   `cbor:"4,keyasint,omitempty"` // receives the log without a vote
+	Class   string `cbor:"5,keyasint,omitempty"` // class of the VM, used to select the members of a group
 }
 
 // Membership is the set of members of a group, in ascending order of ID.
@@ -19,14 +19,14 @@
 	Members []Member `cbor:"1,keyasint"`
 }
 
-// NewMembership sorts members by ID.
+// NewMembership returns a membership of the given members, sorted by ID.
 func NewMembership(members ...Member) Membership {
 	sorted := slices.Clone(members)
 	slices.SortFunc(sorted, func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
 	return Membership{Members: sorted}
 }
 
-// Find gives the member of this ID.
+// Find returns the member with this ID.
 func (m Membership) Find(id ID) (Member, bool) {
 	for _, member := range m.Members {
 		if member.ID == id {
@@ -36,13 +36,13 @@
 	return Member{}, false
 }
 
-// IsVoter says whether id is a member with a vote.
+// IsVoter reports whether id is a voting member.
 func (m Membership) IsVoter(id ID) bool {
 	member, ok := m.Find(id)
 	return ok && !member.Learner
 }
 
-// Voters counts the members with a vote.
+// Voters returns the number of voting members.
 func (m Membership) Voters() int {
 	voters := 0
 	for _, member := range m.Members {
@@ -53,7 +53,8 @@
 	return voters
 }
 
-// Majority is the least number of voters that any two majorities share one of.
+// Majority returns the smallest number of voters such that any two sets of that size
+// have a voter in common.
 func (m Membership) Majority() int { return m.Voters()/2 + 1 }
 
 func (m Membership) with(member Member) Membership {
@@ -65,27 +66,27 @@
 	return Membership{Members: kept}
 }
 
-// ChangeKind names the changes of membership.
+// ChangeKind is a kind of membership change.
 type ChangeKind uint8
 
-// Changes of membership. Each alters the set of voters by one at most, so a
-// majority before and a majority after always share a voter.
+// Kinds of membership changes. Each adds or removes at most one voter, so a majority
+// before the change and a majority after it always share a voter.
 const (
 	AddLearner ChangeKind = iota + 1
 	Promote
 	Remove
 )
 
-// Change is one change of membership.
+// Change is a membership change: its kind and the member that it concerns.
 type Change struct {
 	Kind   ChangeKind
 	Member Member // only its ID matters for Promote and Remove
 }
 
-// ProposeChange appends a change of membership. One change is in progress at a
-// time, and only after the leader has committed an entry of its own term:
-// otherwise two leaders could each have appended one, and majorities of the two
-// resulting memberships need not share a voter.
+// ProposeChange appends a membership change. Only one change may be in progress, and
+// only after the leader has committed an entry of its own term. Otherwise two leaders
+// could each append one, and majorities of the two resulting memberships need not
+// share a voter.
 func (n *Node) ProposeChange(change Change) (index uint64, err error) {
 	if n.role != Leader {
 		return 0, ErrNotLeader
@@ -96,7 +97,7 @@
 	if n.log.membershipIndex() > n.log.commit || !n.committedInTerm() {
 		return 0, ErrChangePending
 	}
-	next, err := n.changed(change)
+	next, err := n.applyChange(change)
 	if err != nil {
 		return 0, err
 	}
@@ -104,7 +105,7 @@
 	return index, nil
 }
 
-func (n *Node) changed(change Change) (Membership, error) {
+func (n *Node) applyChange(change Change) (Membership, error) {
 	current := n.Membership()
 	member, known := current.Find(change.Member.ID)
 	switch change.Kind {
@@ -139,9 +140,9 @@
 	}
 }
 
-// caughtUp guards a promotion. A learner that counted before it held every
-// committed entry would make the loss of one more VM a loss of acknowledged
-// changes: the majority that remains would include a member without them.
+// caughtUp reports whether a learner holds every committed entry and may be promoted.
+// If a learner voted before that, the loss of one more VM could lose acknowledged
+// changes: the remaining majority would include a member without them.
 func (n *Node) caughtUp(id ID) bool {
 	p := n.progress[id]
 	return p != nil && n.follows(p) && p.match >= n.log.commit
@@ -161,8 +162,8 @@
 	return reachable
 }
 
-// adopt makes progress follow the membership in force.
-func (n *Node) adopt() {
+// syncProgress adds and removes entries of progress to match the membership in effect.
+func (n *Node) syncProgress() {
 	if n.role != Leader {
 		return
 	}
--- a/internal/quorum/node.go
+++ b/internal/quorum/node.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// Role is what a member currently is in its group.
+// Role is the current Raft role of a member.
 type Role uint8
 
-// Roles.
+// Roles of a member.
 const (
 	Follower Role = iota
 	PreCandidate
@@ -16,22 +16,23 @@
 	Leader
 )
 
-// String gives the role's name.
+// String returns the role's name.
 func (r Role) String() string {
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// Config is fixed for the life of a Node.
+// Config holds the settings of a Node. They do not change after New.
 type Config struct {
 	ID ID
-	// ElectionTicks without a leader's message start an election; a leader that
-	// does not hear a majority for as long steps down. HeartbeatTicks is the
-	// interval of heartbeats and must be a fraction of it.
+	// ElectionTicks is the election timeout: the time without a message of a leader
+	// after which a member starts an election, and without responses of a majority
+	// after which a leader steps down. HeartbeatTicks is the heartbeat interval, at
+	// most a third of it.
 	ElectionTicks  int
 	HeartbeatTicks int
-	MaxAppendBytes int // size of one append; a single larger entry still goes
-	MaxInflight    int // appends sent ahead to one member
-	// Rand gives a number in [0, n); it spreads the elections.
+	MaxAppendBytes int // limit on the size of an append; a single larger entry is still sent
+	MaxInflight    int // limit on unacknowledged appends to one member
+	// Rand returns a number in [0, n); it randomizes election timeouts.
 	Rand func(n int) int
 }
 
@@ -47,14 +48,15 @@
 	return nil
 }
 
-// Restored is what a member finds on its disk. All zero is a blank member.
+// Restored is the state that a member reads from its disk at startup. The zero value
+// is the state of a blank disk.
 type Restored struct {
 	HardState HardState
 	Snapshot  SnapshotMeta
 	Entries   []Entry // after the snapshot, without gaps
 }
 
-// Node is one member of one group.
+// Node is the Raft state machine of one member of a group.
 type Node struct {
 	config Config
 	log    *log
@@ -63,34 +65,34 @@
 	vote   ID
 	leader ID
 
-	elapsed int // ticks since the last message of a leader, or since campaigning
-	timeout int // elapsed at which to campaign
-	// ticks since the start. Heartbeats go by it, so that the groups of a VM
-	// send theirs together.
+	elapsed int // ticks since the last message of a leader or the last campaign
+	timeout int // value of elapsed at which to campaign
+	// ticks counts from the start. Heartbeats are scheduled by it, so that all groups
+	// of a VM send theirs at the same time.
 	ticks int
 
 	votes      map[ID]bool
-	progress   map[ID]*progress // of a leader only
+	progress   map[ID]*progress // nil unless this member leads
 	transferee ID
 	reads      readQueue
 
 	lag lag
 
-	// What was committed at the last two marks, an election timeout apart.
+	// Commit indexes at the last two samples, an election timeout apart.
 	recentCommit  uint64
 	earlierCommit uint64
-	sinceMark     int
-
-	saved     HardState // as last handed to the shell
-	installed *SnapshotMeta
-	outbox    Outbox
-	afterSync []Message
-	ready     bool // between Ready and Advance
-	handing   uint64
-	stalled   bool // the shell's disk does not answer
+	sinceSample   int
+
+	saved       HardState // last one returned by Ready; its commit index may be older
+	installed   *SnapshotMeta
+	outbox      Outbox
+	afterSync   []Message
+	ready       bool   // between Ready and Advance
+	handedNext  uint64 // last index whose sync the current Ready completes
+	diskStalled bool   // the caller's disk does not respond
 }
 
-// New makes a member from what its disk holds.
+// New creates a member from the state on its disk.
 func New(config Config, restored Restored) (*Node, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -110,13 +112,14 @@
 	}
 	n.saved = HardState{Term: n.term, Vote: n.vote}
 	n.resetElection()
-	n.hasten()
+	n.shortenFirstElection()
 	return n, nil
 }
 
-// Begin gives a member whose log is empty the membership that its group began
-// with. It says whether it did. The term stays: a leader may have been heard
-// before. No vote was given in it, since an empty log votes for nobody.
+// SetInitialMembership starts the log of a member with an empty log from the initial
+// membership of its group, and reports whether it did. It never lowers the term, since
+// a message of a leader may have raised it already. No vote was cast in that term,
+// because a member with an empty log grants no votes.
 func (n *Node) Begin(initial Membership) bool {
 	if !n.Empty() {
 		return false
@@ -130,15 +133,16 @@
 		n.term = BootstrapTerm
 		n.saved.Term = n.term
 		n.resetElection()
-		n.hasten()
+		n.shortenFirstElection()
 	}
 	return true
 }
 
-// Empty says whether this member holds nothing of the log, nor is about to.
+// Empty reports whether this member holds no part of the log and is not installing a
+// snapshot.
 func (n *Node) Empty() bool { return n.log.lastIndex() == 0 && n.installed == nil }
 
-// Tick passes one interval of the shell's clock.
+// Tick advances the logical clock by one tick.
 func (n *Node) Tick() {
 	n.ticks++
 	n.elapsed++
@@ -147,23 +151,23 @@
 		n.tickLeader()
 		return
 	}
-	if n.elapsed >= n.timeout && n.Membership().IsVoter(n.config.ID) && !n.stalled {
+	if n.elapsed >= n.timeout && n.Membership().IsVoter(n.config.ID) && !n.diskStalled {
 		n.campaign(PreCandidate, false)
 	}
 }
 
-// SetStalled tells whether the shell's disk has stopped answering. A leader
-// with a stalled disk would hold its office by heartbeats alone and answer no
-// proposal, since it applies only what it has synced: it steps down.
+// SetDiskStalled records whether the caller's disk has stopped responding. A leader
+// with a stalled disk steps down: it applies only what it has synced, so it would
+// keep leading by heartbeats alone and answer no proposal.
 func (n *Node) SetStalled(stalled bool) {
-	n.stalled = stalled
+	n.diskStalled = stalled
 	if stalled && n.role == Leader {
 		n.becomeFollower(n.term, None)
 	}
 }
 
-// Propose appends data to the log and gives its index and term. It is committed
-// when an entry of this index and term appears in Ready.Committed.
+// Propose appends data to the log and returns its index and term. It is committed
+// when an entry with this index and term appears in Ready.Committed.
 func (n *Node) Propose(data []byte) (index, term uint64, err error) {
 	if n.role != Leader {
 		return 0, 0, ErrNotLeader
@@ -179,13 +183,13 @@
 	entry.Term = n.term
 	n.log.push(entry)
 	if entry.Membership != nil {
-		n.adopt()
+		n.syncProgress()
 	}
 	n.broadcastAppend()
 	return entry.Index
 }
 
-// Step takes in a message of another member.
+// Step processes a message from another member.
 func (n *Node) Step(m Message) {
 	if m.To != n.config.ID || m.From == n.config.ID {
 		return
@@ -205,18 +209,19 @@
 	n.stepSameTerm(m)
 }
 
-// stepHigherTerm says whether m is to be processed further.
+// stepHigherTerm handles a term above the member's own and reports whether m is to be
+// processed further.
 func (n *Node) stepHigherTerm(m Message) bool {
 	asksVote := m.Type == MsgVote || m.Type == MsgPreVote
-	if asksVote && !m.Transfer && n.hearsLeader() {
-		// A member that was cut off, or was removed and does not know, comes
-		// back and campaigns. While a majority hears a leader within its
-		// lease, answering would only depose a working leader.
+	if asksVote && !m.Transfer && n.hasActiveLeader() {
+		// A member campaigns after a network partition, or because it does not know
+		// that it was removed. While this member still receives messages of a leader,
+		// an answer would only help to depose a working leader.
 		return false
 	}
 	switch {
 	case m.Type == MsgPreVote, m.Type == MsgPreVoteResponse && !m.Reject:
-		// A pre-vote is about a term that nobody has entered yet.
+		// A pre-vote carries a term that no member has entered yet.
 	case m.Type == MsgAppend || m.Type == MsgHeartbeat || m.Type == MsgSnapshot:
 		n.becomeFollower(m.Term, m.From)
 	default:
@@ -225,13 +230,13 @@
 	return true
 }
 
-func (n *Node) hearsLeader() bool {
+func (n *Node) hasActiveLeader() bool {
 	return n.role == Leader || n.leader != None && n.elapsed < n.config.ElectionTicks
 }
 
-// stepLowerTerm answers members that are behind. Without it, a member whose
-// term is ahead of the leader's (it voted in an election that nobody won) could
-// never take an entry again: the answer makes the leader campaign anew.
+// stepLowerTerm rejects messages of a lower term. A member whose term is ahead of the
+// leader's, because it voted in an election without a winner, accepts no append of
+// that leader: the rejection carries the higher term and causes a new election.
 func (n *Node) stepLowerTerm(m Message) {
 	switch m.Type {
 	case MsgAppend, MsgHeartbeat, MsgSnapshot:
@@ -253,7 +258,7 @@
 	case MsgHeartbeat:
 		n.followLeader(m)
 		n.commitTo(min(m.Commit, n.log.lastIndex()))
-		n.lag.heard(m.Committed)
+		n.lag.observe(m.Committed)
 		n.respond(m, Message{Type: MsgHeartbeatResponse, Round: m.Round})
 	case MsgSnapshot:
 		n.followLeader(m)
@@ -276,7 +281,7 @@
 	}
 }
 
-// send queues a message that waits for no disk.
+// send queues a message that may be sent before the next sync.
 func (n *Node) send(m Message) {
 	m.From = n.config.ID
 	if m.Term == 0 {
@@ -285,9 +290,9 @@
 	n.outbox.Messages = append(n.outbox.Messages, m)
 }
 
-// respond queues the answer to m. Answers that promise something about this
-// member's disk wait for it: a vote, or an acknowledged entry, that a restart
-// forgot could elect two leaders in a term or lose a committed entry.
+// respond queues the response to m. Vote and append responses wait for the sync: if a
+// restart lost a vote or an acknowledged entry, two leaders could be elected in one
+// term or a committed entry could be lost.
 func (n *Node) respond(m, response Message) {
 	response.To = m.From
 	response.From = n.config.ID
@@ -301,46 +306,48 @@
 	n.outbox.Messages = append(n.outbox.Messages, response)
 }
 
-// Compact tells of a synced snapshot at index. The newest keep entries before
-// it stay in memory for followers that are a little behind.
+// Compact records a synced snapshot at index and removes older entries from memory,
+// except the newest keep entries before it, for followers that lag slightly.
 func (n *Node) Compact(index uint64, keep uint64) (SnapshotMeta, error) {
 	term, ok := n.log.term(index)
 	if !ok || index > n.log.applied || index <= n.log.snapshot.Index {
-		return SnapshotMeta{}, fmt.Errorf("quorum: no snapshot can be placed at %d", index)
+		return SnapshotMeta{}, fmt.Errorf("quorum: index %d cannot be compacted: it is not applied, not after the last snapshot, or no longer in the log", index)
 	}
 	meta := SnapshotMeta{Index: index, Term: term, Membership: n.log.membershipAt(index)}
 	n.log.compact(meta, index-min(index, keep))
 	return meta, nil
 }
 
-// MetaAt gives the place of a snapshot of the entries up to index.
+// SnapshotMetaAt returns the metadata of a snapshot of the entries up to index, and
+// false if the log does not hold the entry at index.
 func (n *Node) MetaAt(index uint64) (SnapshotMeta, bool) {
 	term, ok := n.log.term(index)
 	return SnapshotMeta{Index: index, Term: term, Membership: n.log.membershipAt(index)}, ok
 }
 
-// SnapshotMeta gives the place of this member's newest snapshot.
+// SnapshotMeta returns the metadata of this member's newest snapshot.
 func (n *Node) SnapshotMeta() SnapshotMeta { return n.log.snapshot }
 
-// Membership gives the membership in force: the newest in the log.
+// Membership returns the membership in effect: the newest in the log.
 func (n *Node) Membership() Membership { return n.log.membership() }
 
-// Leader gives the leader that this member follows or is; None if unknown. One that
-// was removed hears no other leader, and is not told that this one has gone.
+// Leader returns the ID of the current leader, which may be this member; None if
+// unknown. A member that was removed receives no messages of a later leader, so it
+// does not report its last leader beyond an election timeout.
 func (n *Node) Leader() ID {
-	if !n.Membership().IsVoter(n.config.ID) && !n.hearsLeader() {
+	if !n.Membership().IsVoter(n.config.ID) && !n.hasActiveLeader() {
 		return None
 	}
 	return n.leader
 }
 
-// IsLeader says whether this member leads.
+// IsLeader reports whether this member is the leader.
 func (n *Node) IsLeader() bool { return n.role == Leader }
 
-// Term gives the current term.
+// Term returns the current term.
 func (n *Node) Term() uint64 { return n.term }
 
-// Applied gives the last index handed out in Ready.Committed.
+// Applied returns the last index that was returned in Ready.Committed.
 func (n *Node) Applied() uint64 { return n.log.applied }
 
 func (n *Node) memberIDs() []ID {
@@ -352,7 +359,7 @@
 	return ids
 }
 
-// quorumValue gives the highest value that a majority of the voters reaches.
+// quorumValue returns the highest value that a majority of the voters has reached.
 func (n *Node) quorumValue(value func(*progress) uint64) uint64 {
 	var values []uint64
 	for _, member := range n.Membership().Members {
--- a/internal/quorum/progress.go
+++ b/internal/quorum/progress.go
@@ -1,74 +1,74 @@
 package quorum
 
-// ProgressState says how a leader sends to a member.
+// ProgressState is the mode in which a leader replicates to a member.
 type ProgressState uint8
 
-// States of progress.
+// Replication modes.
 const (
-	Probing      ProgressState = iota // one append at a time, until it matches
-	Replicating                       // appends are sent ahead of their answers
-	Snapshotting                      // waits for a snapshot to arrive
+	Probing      ProgressState = iota // one append at a time, until one matches
+	Replicating                       // appends are pipelined
+	Snapshotting                      // waits for a snapshot transfer
 )
 
-// progress is what a leader knows of one member's log.
+// progress is the leader's view of one member's log.
 type progress struct {
 	match    uint64 // last entry that the member has synced
 	next     uint64 // next entry to send
 	state    ProgressState
-	inflight int  // appends sent and not answered, while replicating
-	paused   bool // a probe is on its way
-	// doubted: appends seem lost, and the probe only asks for the member's
-	// position. sent is the last entry that was sent before the doubt, asked
-	// the number of the newest question.
-	doubted bool
-	sent    uint64
-	asked   uint64
-	idle    int    // ticks since the member was heard
-	round   uint64 // newest round of heartbeats that the member has answered
-	// lastMatch is the match at the last heartbeat response. No growth over
-	// lostAfter of them while the member lacks entries means that an append was
-	// lost; stalled counts them.
+	inflight int  // unacknowledged appends, while replicating
+	paused   bool // a probe is in flight
+	// querying means that appends seem lost and that probes carry no entries: they
+	// only query the member's position. sentBefore is the last entry sent before the
+	// first query, query the number of the newest one.
+	querying   bool
+	sentBefore uint64
+	query      uint64
+	idle       int    // ticks since the last message of the member
+	round      uint64 // newest heartbeat round that the member has answered
+	// lastMatch is the value of match at the last heartbeat response. stalled counts
+	// the responses in a row that found match unchanged while the member lacked
+	// entries; at lostAfter an append is considered lost.
 	lastMatch uint64
 	stalled   int
 }
 
-// lostAfter is how many heartbeat responses in a row bring no progress before an
-// append counts as lost. The shells send over connections that repeat lost packets
-// by themselves, and a sync takes a while; if a single response counted, each such
-// delay would send all entries in flight again.
+// lostAfter is the number of heartbeat responses in a row without progress after which
+// an append is considered lost. Connections retransmit lost packets on their own, and a
+// sync takes time: with a limit of one, each such delay would resend all entries in
+// flight.
 const lostAfter = 4
 
 func newProgress(next uint64) *progress { return &progress{next: next} }
 
-// probe starts over from the last entry that the member is known to hold.
+// probe restarts replication after the last entry that the member is known to hold.
 func (p *progress) probe() {
 	p.state = Probing
 	p.next = p.match + 1
 	p.inflight = 0
 	p.paused = false
-	p.doubted = false
+	p.querying = false
 }
 
-// doubt asks for the member's position before anything is sent again. A member
-// that is slow, or was paused, still has the appends before it: entries in the
-// probe would queue behind these, its answers would come later with each copy,
-// and it would never catch up.
-func (p *progress) doubt() {
+// queryPosition makes the next probe query the member's position before any entry is
+// resent. A slow or paused member may still have to process the earlier appends: entries
+// in the probe would queue behind them, each copy would delay its responses further, and
+// it would never catch up.
+func (p *progress) queryPosition() {
 	sent := p.next - 1
 	if p.state != Probing {
 		p.probe()
 	}
-	if !p.doubted {
-		p.doubted = true
-		p.sent = sent
+	if !p.querying {
+		p.querying = true
+		p.sentBefore = sent
 	}
-	p.asked++
+	p.query++
 	p.paused = false
 }
 
-// acknowledged takes in that the member holds all entries up to index; question
-// is the number of the probe that it answers, zero if it answers none.
-func (p *progress) acknowledged(index, question uint64) {
+// acknowledge records that the member holds all entries up to index. query is the
+// number of the position query that the response answers; zero if it answers none.
+func (p *progress) acknowledge(index, question uint64) {
 	if p.inflight > 0 {
 		p.inflight--
 	}
@@ -78,24 +78,24 @@
 		p.next = max(p.next, p.match+1)
 		return
 	}
-	if p.doubted && !grew && question != p.asked {
-		// Late: an answer to an append or a probe from before.
+	if p.querying && !grew && question != p.query {
+		// A delayed response to an earlier append or probe.
 		return
 	}
 	p.paused = false
 	p.next = p.match + 1
-	if p.doubted && grew {
-		// An append from before the doubt has arrived, so the member takes them
-		// in. If a later one is lost, the next append is rejected.
-		p.next = max(p.next, p.sent+1)
+	if p.querying && grew {
+		// An append sent before the query has arrived, so the others are probably not
+		// lost. If one is, the member rejects the next append.
+		p.next = max(p.next, p.sentBefore+1)
 	}
 	p.state = Replicating
 	p.inflight = 0
-	p.doubted = false
+	p.querying = false
 }
 
-// countStalled notes whether the member lacks entries and has acknowledged
-// nothing since the heartbeat response before.
+// countStalled counts a heartbeat response in stalled if the member lacks entries and
+// has acknowledged none since the previous response; otherwise it resets the count.
 func (p *progress) countStalled(lacks bool) {
 	if lacks && p.match == p.lastMatch && p.state != Snapshotting {
 		p.stalled++
--- a/internal/quorum/quorum_test.go
+++ b/internal/quorum/quorum_test.go
@@ -9,16 +9,16 @@
 	"testing"
 )
 
-// bench is a group whose messages the test delivers by hand.
-type bench struct {
+// testGroup is a group of members in memory whose messages the test delivers or drops.
+type testGroup struct {
 	nodes map[ID]*Node
-	// applied are the data that each member applied, in order.
+	// applied holds the data that each member applied, in order.
 	applied map[ID][]string
 	queue   []Message
-	// hold keeps a message back, or loses it, when it says so; nil: none.
-	hold  func(Message) bool
-	reads map[ID][]ReadState
-	cut   map[ID]bool
+	// intercept drops a message if it returns true; nil drops none.
+	intercept   func(Message) bool
+	reads       map[ID][]ReadState
+	partitioned map[ID]bool
 }
 
 func testConfig(id ID) Config {
@@ -29,9 +29,9 @@
 	}
 }
 
-func newBench(t *testing.T, ids ...ID) *bench {
+func newTestGroup(t *testing.T, ids ...ID) *testGroup {
 	t.Helper()
-	b := &bench{nodes: map[ID]*Node{}, applied: map[ID][]string{}, reads: map[ID][]ReadState{}, cut: map[ID]bool{}}
+	b := &testGroup{nodes: map[ID]*Node{}, applied: map[ID][]string{}, reads: map[ID][]ReadState{}, partitioned: map[ID]bool{}}
 	members := make([]Member, len(ids))
 	for i, id := range ids {
 		members[i] = Member{ID: id}
@@ -46,10 +46,10 @@
 	return b
 }
 
-func (b *bench) ids() []ID { return slices.Sorted(maps.Keys(b.nodes)) }
+func (b *testGroup) ids() []ID { return slices.Sorted(maps.Keys(b.nodes)) }
 
-// settle works until no member has anything left to do.
-func (b *bench) settle() {
+// settle delivers messages and does the work of all members until none is left.
+func (b *testGroup) settle() {
 	for busy := true; busy; {
 		busy = false
 		for _, id := range b.ids() {
@@ -76,17 +76,17 @@
 		b.queue = nil
 		for _, m := range sent {
 			busy = true
-			if b.hold != nil && b.hold(m) {
+			if b.intercept != nil && b.intercept(m) {
 				continue
 			}
-			if node := b.nodes[m.To]; node != nil && !b.cut[m.To] && !b.cut[m.From] {
+			if node := b.nodes[m.To]; node != nil && !b.partitioned[m.To] && !b.partitioned[m.From] {
 				node.Step(m)
 			}
 		}
 	}
 }
 
-func (b *bench) tick(count int) {
+func (b *testGroup) tick(count int) {
 	for range count {
 		for _, id := range b.ids() {
 			b.nodes[id].Tick()
@@ -95,11 +95,11 @@
 	}
 }
 
-func (b *bench) leader(t *testing.T) *Node {
+func (b *testGroup) leader(t *testing.T) *Node {
 	t.Helper()
 	for range 100 {
 		for id, node := range b.nodes {
-			if node.IsLeader() && !b.cut[id] {
+			if node.IsLeader() && !b.partitioned[id] {
 				return node
 			}
 		}
@@ -109,15 +109,15 @@
 	return nil
 }
 
-// follower gives a member that does not lead.
-func (b *bench) follower(t *testing.T) ID {
+// follower returns a member that is not the leader.
+func (b *testGroup) follower(t *testing.T) ID {
 	t.Helper()
 	leader := b.leader(t).config.ID
 	i := slices.IndexFunc(b.ids(), func(id ID) bool { return id != leader })
 	return b.ids()[i]
 }
 
-func (b *bench) propose(t *testing.T, data string) {
+func (b *testGroup) propose(t *testing.T, data string) {
 	t.Helper()
 	if _, _, err := b.leader(t).Propose([]byte(data)); err != nil {
 		t.Fatal(err)
@@ -126,16 +126,16 @@
 }
 
 func TestGroupCommitsAndElectsAgain(t *testing.T) {
-	b := newBench(t, 1, 2, 3)
+	b := newTestGroup(t, 1, 2, 3)
 	b.propose(t, "a")
 	first := b.leader(t)
-	b.cut[first.config.ID] = true
+	b.partitioned[first.config.ID] = true
 	b.tick(25)
 	b.propose(t, "b")
 	if first.IsLeader() {
-		t.Error("the leader that was cut off has not stepped down")
+		t.Error("the partitioned leader has not stepped down")
 	}
-	b.cut = map[ID]bool{}
+	b.partitioned = map[ID]bool{}
 	b.tick(25)
 	for id := range b.nodes {
 		if got := b.applied[id]; len(got) != 2 || got[0] != "a" || got[1] != "b" {
@@ -144,16 +144,16 @@
 	}
 }
 
-// On a busy site a quarter of what is paid for bytes between places goes into
-// copies of log entries: a packet was lost, the connection repeated it 0.2 s
-// later, and meanwhile each heartbeat sent all entries in flight again.
+// A delayed append must not be resent at each heartbeat. When a connection retransmitted
+// a lost packet after 0.2 s, all entries in flight were resent meanwhile; on a busy site
+// such copies were a quarter of the cost of traffic between places.
 func TestDelayedAppendsAreNotSentAgainAndLostOnesAre(t *testing.T) {
-	b := newBench(t, 1, 2, 3)
+	b := newTestGroup(t, 1, 2, 3)
 	b.propose(t, "a")
 	leader := b.leader(t)
 	slow := b.follower(t)
 	var appends []Message
-	b.hold = func(m Message) bool {
+	b.intercept = func(m Message) bool {
 		held := m.Type == MsgAppend && m.To == slow && len(m.Entries) > 0
 		if held {
 			appends = append(appends, m)
@@ -164,14 +164,14 @@
 	heartbeat := testConfig(slow).HeartbeatTicks
 	b.tick((lostAfter - 1) * heartbeat)
 	if len(appends) != 1 {
-		t.Errorf("sent %d times within %d heartbeats", len(appends), lostAfter-1)
+		t.Errorf("the append was sent %d times within %d heartbeats", len(appends), lostAfter-1)
 	}
 	b.tick(3 * heartbeat)
 	if len(appends) < 2 {
 		t.Error("a lost append was not sent again")
 	}
 
-	// A call that failed shows the loss at once.
+	// A failed call reports the loss immediately.
 	count := len(appends)
 	b.propose(t, "c")
 	count = max(count, len(appends))
@@ -180,25 +180,24 @@
 	if len(appends) <= count {
 		t.Error("an append known to be lost was not sent again at the next heartbeat")
 	}
-	b.hold = nil
-	b.tick((lostAfter + 1) * heartbeat) // the last one held was lost unseen
+	b.intercept = nil
+	b.tick((lostAfter + 1) * heartbeat) // the loss of the last append was not reported
 	if got := b.applied[slow]; len(got) != 3 {
 		t.Errorf("the slow member applied %v", got)
 	}
 }
 
-// A VM freezes for some seconds and wakes. From then on the leader sends it the
-// same entries over and over, at the price of fifteen times the bytes, and the
-// member never counts for the quorum again: each heartbeat that it answers
-// brings another copy, which it must take in before the answer that would have
-// shown the copy to be needless.
+// A VM freezes for some seconds and resumes. If each heartbeat response triggered
+// another copy of the entries, the member would have to process that copy before it
+// could send the response that makes it unnecessary: it would never catch up, and the
+// leader would send fifteen times the bytes.
 func TestAMemberThatWakesIsSentEachEntryAboutOnce(t *testing.T) {
-	b := newBench(t, 1, 2, 3)
+	b := newTestGroup(t, 1, 2, 3)
 	b.propose(t, "first")
 	frozen := b.follower(t)
 	var waiting []Message
 	sent := 0
-	b.hold = func(m Message) bool {
+	b.intercept = func(m Message) bool {
 		if m.To == frozen {
 			waiting = append(waiting, m)
 			sent += len(m.Entries)
@@ -211,10 +210,10 @@
 		b.propose(t, payload)
 		b.tick(1)
 	}
-	// It takes in one message a tick, of which two make a heartbeat.
+	// The member processes one message per tick; a heartbeat interval is two ticks.
 	for tick := 0; len(b.applied[frozen]) <= proposals; tick++ {
 		if tick > 4*proposals {
-			t.Fatalf("the member holds %d of %d entries after %d ticks; %d were sent", len(b.applied[frozen]), proposals, tick, sent)
+			t.Fatalf("the member has applied %d of %d entries after %d ticks; %d were sent", len(b.applied[frozen]), proposals, tick, sent)
 		}
 		if len(waiting) > 0 {
 			next := waiting[0]
@@ -225,12 +224,12 @@
 		b.tick(1)
 	}
 	if sent > proposals*5/4 {
-		t.Errorf("%d entries were sent for %d that were lacking", sent, proposals)
+		t.Errorf("%d entries were sent to a member that lacked %d", sent, proposals)
 	}
 }
 
 func TestSingleMemberLeads(t *testing.T) {
-	b := newBench(t, 1)
+	b := newTestGroup(t, 1)
 	b.propose(t, "a")
 	if err := b.leader(t).Read(7); err != nil {
 		t.Fatal(err)
@@ -241,11 +240,11 @@
 	}
 }
 
-// A disk is lost. Its VM comes back with a blank one, joins as a learner and
-// takes the old member's place; then a second VM is lost. Everything that was
-// acknowledged must be there and the group must go on.
+// A disk is lost, its VM joins as a learner with a blank disk and replaces the old
+// member; then a second VM is lost. No acknowledged entry may be lost, and the group
+// must continue to accept proposals.
 func TestSecondLossRightAfterRepair(t *testing.T) {
-	b := newBench(t, 1, 2, 3)
+	b := newTestGroup(t, 1, 2, 3)
 	b.propose(t, "a")
 	leader := b.leader(t)
 	lost := ID(1)
@@ -270,7 +269,7 @@
 	change(Change{Kind: Promote, Member: Member{ID: 9}})
 	change(Change{Kind: Remove, Member: Member{ID: lost}})
 	if got := leader.Status().Tolerance; got != 1 {
-		t.Errorf("tolerance after the repair is %d", got)
+		t.Errorf("tolerance after the repair is %d, want 1", got)
 	}
 	delete(b.nodes, leader.config.ID)
 	b.tick(25)
@@ -281,33 +280,32 @@
 	}
 }
 
-// An operator sees that a repair is complete and takes the next VM down, which
-// leads. It had appended the removal of the old member but nobody else had it:
-// the two that are left count four members and elect no one. The tolerance
-// shown must stay at zero until the removal is committed.
+// The tolerance must stay at zero until the removal of a lost member is committed. If
+// an operator stopped the leader while it alone had the removal, the two other members
+// would still count four members and could elect no leader.
 func TestToleranceCountsUncommittedRemoval(t *testing.T) {
-	b := newBench(t, 1, 2, 3, 4)
+	b := newTestGroup(t, 1, 2, 3, 4)
 	b.propose(t, "a")
 	leader := b.leader(t)
 	lost := ID(1)
 	if leader.config.ID == lost {
 		lost = 2
 	}
-	b.cut[lost] = true
+	b.partitioned[lost] = true
 	b.tick(20)
 	if _, err := leader.ProposeChange(Change{Kind: Remove, Member: Member{ID: lost}}); err != nil {
 		t.Fatal(err)
 	}
 	if got := leader.Status().Tolerance; got != 0 {
-		t.Errorf("tolerance is %d before the removal is committed", got)
+		t.Errorf("tolerance is %d before the removal is committed, want 0", got)
 	}
 	b.settle()
 	if got := leader.Status().Tolerance; got != 1 {
-		t.Errorf("tolerance is %d after the removal", got)
+		t.Errorf("tolerance is %d after the removal, want 1", got)
 	}
 }
 
-// elect makes a member the leader of a term by the votes of member 2.
+// elect makes n the leader of a term with the votes of member 2.
 func elect(n *Node, term uint64) {
 	for n.role != PreCandidate {
 		n.Tick()
@@ -323,62 +321,62 @@
 	}
 }
 
-// A member asks for votes, or replicates an entry, and crashes before its own
-// disk has synced. Had its own vote or entry counted, it could vote for another
-// in the same term after the restart, or lose an entry that was acknowledged.
+// A member requests votes, or replicates an entry, and crashes before its own disk has
+// synced. If its own vote or entry counted before the sync, it could vote for another
+// member in the same term after the restart, or lose an acknowledged entry.
 func TestNothingCountsBeforeTheSync(t *testing.T) {
-	b := newBench(t, 1, 2, 3)
+	b := newTestGroup(t, 1, 2, 3)
 	n := b.nodes[1]
 	n.campaign(Candidate, false)
 	for _, m := range n.TakeOutbox().Messages {
-		t.Errorf("message of type %d is sent before the vote is synced", m.Type)
+		t.Errorf("a message of type %d is sent before the vote is synced", m.Type)
 	}
 	ready, _ := n.Ready()
 	if ready.HardState == nil || ready.HardState.Vote != 1 || len(ready.AfterSync) != 2 {
-		t.Errorf("a campaign hands out %+v", ready)
+		t.Errorf("Ready returns %+v after a campaign, want own vote and two vote requests", ready)
 	}
 	n.Advance()
 	n.Step(Message{Type: MsgVoteResponse, From: 2, To: 1, Term: n.term})
 	n.Step(Message{Type: MsgAppendResponse, From: 2, To: 1, Term: n.term, Index: 2})
 	if n.log.commit >= 2 {
-		t.Error("an entry is committed that one disk of three holds")
+		t.Error("an entry is committed that only one of three disks holds")
 	}
 	work(n)
 	if n.log.commit != 2 {
-		t.Errorf("commit is %d after the sync", n.log.commit)
+		t.Errorf("commit is %d after the sync, want 2", n.log.commit)
 	}
 	_, _, _ = n.Propose([]byte("synced"))
 	n.Ready()
-	_, _, _ = n.Propose([]byte("not handed out yet"))
+	_, _, _ = n.Propose([]byte("not in a Ready yet"))
 	n.Step(Message{Type: MsgAppendResponse, From: 2, To: 1, Term: n.term, Index: 4})
 	n.Advance()
 	if n.log.commit != 3 {
-		t.Errorf("commit is %d, synced here up to 3", n.log.commit)
+		t.Errorf("commit is %d, but the leader has synced up to 3", n.log.commit)
 	}
 }
 
-// Two leaders of successive terms each append a membership change before either
-// is committed, or one appends two: the resulting memberships can have
-// majorities without a common member.
+// Two leaders of successive terms each append a membership change before either is
+// committed, or one leader appends two: the resulting memberships can have majorities
+// without a common member.
 func TestOneChangeAtATime(t *testing.T) {
-	b := newBench(t, 1, 2, 3)
+	b := newTestGroup(t, 1, 2, 3)
 	n := b.nodes[1]
 	elect(n, 2)
 	if _, err := n.ProposeChange(Change{Kind: AddLearner, Member: Member{ID: 8}}); !errors.Is(err, ErrChangePending) {
-		t.Errorf("a change before the first commit of the term: %v", err)
+		t.Errorf("a change before the first commit of the term: got error %v, want ErrChangePending", err)
 	}
 	b.settle()
 	if _, err := n.ProposeChange(Change{Kind: AddLearner, Member: Member{ID: 8}}); err != nil {
 		t.Error(err)
 	}
 	if _, err := n.ProposeChange(Change{Kind: AddLearner, Member: Member{ID: 9}}); !errors.Is(err, ErrChangePending) {
-		t.Errorf("a second change: %v", err)
+		t.Errorf("a second change: got error %v, want ErrChangePending", err)
 	}
 }
 
-// A leader of an earlier term brought an entry to a majority and was lost before
-// it was committed. Counting that majority would commit an entry which a member
-// with a newer one can still overwrite; only an entry of the own term decides.
+// A leader of an earlier term replicated an entry to a majority and was lost before it
+// committed the entry. A member with a newer entry can still overwrite it, so counting
+// copies must not commit it; only an entry of the current term may.
 func TestEarlierTermIsNotCommittedByCount(t *testing.T) {
 	snapshot := Bootstrap(NewMembership(Member{ID: 1}, Member{ID: 2}, Member{ID: 3}))
 	old := []Entry{{Term: 2, Index: 2, Data: []byte("old")}}
@@ -390,16 +388,16 @@
 	work(n)
 	n.Step(Message{Type: MsgAppendResponse, From: 2, To: 1, Term: 4, Index: 2})
 	if n.log.commit >= 2 {
-		t.Fatal("an entry of an earlier term was committed by count")
+		t.Fatal("an entry of an earlier term was committed by counting its copies")
 	}
 	n.Step(Message{Type: MsgAppendResponse, From: 2, To: 1, Term: 4, Index: 3})
 	if n.log.commit != 3 {
-		t.Errorf("commit is %d", n.log.commit)
+		t.Errorf("commit is %d, want 3", n.log.commit)
 	}
 }
 
 func TestTransfer(t *testing.T) {
-	b := newBench(t, 1, 2, 3)
+	b := newTestGroup(t, 1, 2, 3)
 	b.propose(t, "a")
 	old := b.leader(t)
 	to := ID(1)
@@ -411,6 +409,6 @@
 	}
 	b.settle()
 	if !b.nodes[to].IsLeader() {
-		t.Error("leadership has not moved")
+		t.Error("leadership was not transferred")
 	}
 }
--- a/internal/quorum/read.go
+++ b/internal/quorum/read.go
@@ -1,7 +1,7 @@
 package quorum
 
-// readQueue holds the read barriers of a leader. All that arrive while a round
-// of heartbeats is out wait for the next one together.
+// readQueue holds the pending read barriers of a leader. Barriers that arrive while a
+// heartbeat round is in progress are batched into the next one.
 type readQueue struct {
 	round   uint64 // number of the newest round
 	running []ReadState
@@ -13,11 +13,10 @@
 	return ok && term == n.term
 }
 
-// Read asks for a read barrier. A ReadState of this ID appears in the outbox
-// once a majority has confirmed, after the call, that this member still leads.
-// Nothing appears if leadership is lost. A lease measured in ticks would save
-// the round, but a process that was frozen has not counted its ticks: it would
-// serve old state after it resumes.
+// Read requests a read barrier. A ReadState with this ID appears in the outbox once a
+// majority has confirmed, after the call, that this member still leads; none appears
+// if it loses leadership. A lease measured in ticks would save the heartbeat round, but
+// a frozen process counts no ticks and would serve stale state when it resumes.
 func (n *Node) Read(id uint64) error {
 	if n.role != Leader {
 		return ErrNotLeader
@@ -27,8 +26,9 @@
 	return nil
 }
 
-// startReads opens a round if none is out. A new leader does not know the
-// commit index of earlier terms until an entry of its own term is committed.
+// startReads starts a heartbeat round for the waiting reads if none is in progress. A
+// new leader does not know the commit index of earlier terms until it has committed an
+// entry of its own term.
 func (n *Node) startReads() {
 	if len(n.reads.running) > 0 || len(n.reads.waiting) == 0 || !n.committedInTerm() {
 		return
--- a/internal/quorum/ready.go
+++ b/internal/quorum/ready.go
@@ -1,14 +1,14 @@
 package quorum
 
-// TakeOutbox gives and empties the work that waits for no disk.
+// TakeOutbox returns the work that need not wait for a sync and empties the outbox.
 func (n *Node) TakeOutbox() Outbox {
 	taken := n.outbox
 	n.outbox = Outbox{}
 	return taken
 }
 
-// Ready gives the next work for the shell; false when there is none or the
-// previous one has not been finished by Advance.
+// Ready returns the next work for the caller, and false if there is none or if Advance
+// has not yet been called for the previous one.
 func (n *Node) Ready() (Ready, bool) {
 	if n.ready {
 		return Ready{}, false
@@ -20,32 +20,32 @@
 		Committed: n.log.slice(n.log.applied+1, min(n.log.commit, n.log.stable), maxReadyBytes),
 	}
 	if len(r.Entries) > 0 {
-		n.handing = r.Entries[len(r.Entries)-1].Index
+		n.handedNext = r.Entries[len(r.Entries)-1].Index
 	} else {
-		n.handing = n.log.handed
+		n.handedNext = n.log.handed
 	}
 	if n.saved.Term != n.term || n.saved.Vote != n.vote || len(r.Entries) > 0 || r.Snapshot != nil {
-		// The commit index rides along with other writes: a restart that
-		// finds an older one learns the rest from the leader.
-		state := HardState{Term: n.term, Vote: n.vote, Commit: min(n.log.commit, n.handing)}
+		// The commit index alone causes no write: a member that restarts with an
+		// older one gets the current one from the leader.
+		state := HardState{Term: n.term, Vote: n.vote, Commit: min(n.log.commit, n.handedNext)}
 		n.saved = state
 		r.HardState = &state
 	}
 	if r.HardState == nil && len(r.AfterSync) == 0 && len(r.Committed) == 0 {
 		return Ready{}, false
 	}
-	n.takeOver(&r)
+	n.markHanded(&r)
 	return r, true
 }
 
-// maxReadyBytes bounds the entries of one Ready, so that one write or one run
-// of Apply stays short.
+// maxReadyBytes limits the entries of one Ready, to keep each write and each batch of
+// applied entries short.
 const maxReadyBytes = 4 << 20
 
-func (n *Node) takeOver(r *Ready) {
-	n.log.handed = n.handing
-	if n.handing < n.log.lastIndex() {
-		// Acknowledgements promise entries that are not part of this write.
+func (n *Node) markHanded(r *Ready) {
+	n.log.handed = n.handedNext
+	if n.handedNext < n.log.lastIndex() {
+		// The responses acknowledge entries that are not part of this write.
 		r.AfterSync = nil
 	} else {
 		n.afterSync = nil
@@ -57,13 +57,13 @@
 	}
 }
 
-// Advance says that the work of the last Ready is done: its entries are synced
-// and its committed entries applied.
+// Advance reports to the node that the work of the last Ready is done: its entries are
+// synced and its committed entries applied.
 func (n *Node) Advance() {
 	n.ready = false
-	// handed is lower than what was given out if a newer leader has truncated
-	// the log meanwhile; only the part that still stands is stable.
-	n.log.stable = max(n.log.stable, min(n.handing, n.log.handed))
+	// If a newer leader has truncated the log in the meantime, handed is lower than the
+	// last index that was synced; only the entries that remain are stable.
+	n.log.stable = max(n.log.stable, min(n.handedNext, n.log.handed))
 	if n.role == Candidate {
 		n.countVotes()
 	}
--- a/internal/quorum/replication.go
+++ b/internal/quorum/replication.go
@@ -8,7 +8,8 @@
 	}
 }
 
-// sendAppend sends what the member lacks, as far as its state allows.
+// sendAppend sends the entries that the member lacks, as far as its replication mode
+// and the limit on appends in flight allow.
 func (n *Node) sendAppend(to ID) {
 	p := n.progress[to]
 	for p != nil {
@@ -27,8 +28,8 @@
 			return
 		}
 		m := Message{Type: MsgAppend, To: to, Index: previous, LogTerm: term, Commit: n.log.commit}
-		if p.doubted {
-			m.Round = p.asked
+		if p.querying {
+			m.Round = p.query
 		} else {
 			m.Entries = n.log.slice(p.next, n.log.lastIndex(), n.config.MaxAppendBytes)
 		}
@@ -47,8 +48,8 @@
 		if id == n.config.ID {
 			continue
 		}
-		// A member learns no commit index beyond what it is known to hold: its
-		// log may end in entries of an older term at those positions.
+		// Commit does not go beyond the entries that the member is known to hold: its
+		// log may have entries of an older term after them.
 		commit := min(n.log.commit, n.progress[id].match)
 		n.send(Message{Type: MsgHeartbeat, To: id, Commit: commit, Round: n.reads.round, Committed: n.log.commit})
 	}
@@ -56,7 +57,7 @@
 
 func (n *Node) handleAppend(m Message) {
 	if m.Index < n.log.commit {
-		// Late or doubled: all up to the commit index is held already.
+		// Delayed or duplicated: this member holds all entries up to the commit index.
 		if last := m.Index + uint64(len(m.Entries)); last <= n.log.commit {
 			n.respond(m, Message{Type: MsgAppendResponse, Index: n.log.commit, Round: m.Round})
 			return
@@ -77,8 +78,8 @@
 	n.respond(m, Message{Type: MsgAppendResponse, Index: last, Round: m.Round})
 }
 
-// lastPossibleMatch skips the entries of higher terms than the leader's entry
-// at that position: none of them can match.
+// lastPossibleMatch returns the last index at or before index whose entry can match the
+// leader's log: it skips entries with a higher term than the leader's entry at index.
 func (n *Node) lastPossibleMatch(index, term uint64) uint64 {
 	for index > n.log.commit {
 		held, ok := n.log.term(index)
@@ -113,7 +114,7 @@
 		p.match = max(p.match, m.Index)
 		p.probe()
 	}
-	p.acknowledged(m.Index, m.Round)
+	p.acknowledge(m.Index, m.Round)
 	n.advanceCommit()
 	if n.role != Leader {
 		return
@@ -135,8 +136,8 @@
 	n.sendAppend(m.From)
 }
 
-// lastSharedTerm skips the leader's entries of higher terms than the member has
-// at that position.
+// lastSharedTerm returns the last index at or before index where the leader's entry has
+// no higher term than the member's: later entries cannot match.
 func (n *Node) lastSharedTerm(index, term uint64) uint64 {
 	for index > n.log.offset {
 		held, ok := n.log.term(index)
@@ -148,8 +149,8 @@
 	return index
 }
 
-// advanceCommit commits what a majority has synced, and only up to an entry of
-// the leader's own term.
+// advanceCommit commits the entries that a majority has synced, provided that the last
+// of them is of the leader's own term.
 func (n *Node) advanceCommit() {
 	index := n.quorumValue(func(p *progress) uint64 { return p.match })
 	if index <= n.log.commit {
@@ -161,7 +162,7 @@
 	n.log.commit = index
 	n.startReads()
 	if _, member := n.Membership().Find(n.config.ID); !member && n.log.membershipIndex() <= index {
-		// The change that removes this leader is committed by the others.
+		// The other members have committed the removal of this leader.
 		n.broadcastHeartbeat()
 		n.becomeFollower(n.term, None)
 		return
@@ -182,23 +183,24 @@
 	}
 }
 
-// AppendLost says that an append to the member may not have arrived: its
-// connection broke, or the call was not answered. The member is asked how far it
-// has come once it answers a heartbeat; until then it is sent nothing.
+// AppendLost reports that an append to the member may not have arrived, because the
+// connection broke or the call got no response. Once the member answers a heartbeat,
+// its position is queried; until then no append is sent to it.
 func (n *Node) AppendLost(id ID) {
 	if p := n.progress[id]; n.role == Leader && p != nil && p.state != Snapshotting {
-		p.doubt()
+		p.queryPosition()
 		p.paused = true
 		p.stalled = lostAfter
 	}
 }
 
-// resendLost finds appends that were lost: a member that answers heartbeats but
-// has acknowledged nothing new for some of them while it lacks entries.
+// resendLost resumes sending to a member that answered a heartbeat and lacks entries.
+// If it has acknowledged nothing new over lostAfter heartbeats, appends are considered
+// lost and its position is queried first.
 func (n *Node) resendLost(id ID, p *progress) {
-	firstProbe := p.state == Probing && !p.doubted
+	firstProbe := p.state == Probing && !p.querying
 	if firstProbe || p.stalled >= lostAfter {
-		p.doubt()
+		p.queryPosition()
 		p.stalled = 0
 	}
 	n.sendAppend(id)
@@ -210,7 +212,7 @@
 		return
 	}
 	if meta.Index > n.log.commit && n.log.matches(meta.Index, meta.Term) {
-		// The log has caught up meanwhile; the state follows by its entries.
+		// The log has caught up in the meantime; its entries bring the state up to date.
 		n.commitTo(meta.Index)
 	}
 	if meta.Index <= n.log.commit {
@@ -219,15 +221,15 @@
 	}
 	n.log.reset(*meta)
 	n.installed = meta
-	n.handing = meta.Index
+	n.handedNext = meta.Index
 	n.respond(m, Message{Type: MsgAppendResponse, Index: meta.Index})
 }
 
-// Installing says whether a snapshot that was accepted waits for Ready.
+// InstallingSnapshot reports whether an accepted snapshot waits for Ready.
 func (n *Node) Installing() bool { return n.installed != nil }
 
-// ReportSnapshot ends a transfer that TakeOutbox asked for: the snapshot at
-// index has arrived, or none has if index is zero.
+// ReportSnapshot ends a snapshot transfer requested by Outbox.Snapshots: the snapshot at
+// index has arrived, or the transfer failed if index is zero.
 func (n *Node) ReportSnapshot(to ID, index uint64) {
 	p := n.progress[to]
 	if n.role != Leader || p == nil || p.state != Snapshotting {
--- a/internal/quorum/status.go
+++ b/internal/quorum/status.go
@@ -1,6 +1,6 @@
 package quorum
 
-// Status is what a member knows of its group.
+// Status is a member's view of its group.
 type Status struct {
 	ID      ID
 	Role    Role
@@ -10,25 +10,25 @@
 	Applied uint64
 	Last    uint64 // last index of the log
 	Members []MemberStatus
-	// The following are known to the leader only.
-	Reachable int // voters that answer and hold, or are taking, the log
-	// Tolerance is how many of the reachable voters may be lost, one after the
-	// other, before the group stops taking changes.
+	// The following fields are set by the leader only.
+	Reachable int // voters that respond and are up to date or nearly so
+	// Tolerance is the number of reachable voters that may be lost, one after the
+	// other, before the group stops accepting changes.
 	Tolerance int
-	// Settled: no change of membership is under way.
+	// Settled is true if no membership change is in progress.
 	Settled bool
 }
 
-// MemberStatus is a leader's view of a member. Others know only the Member.
+// MemberStatus is a leader's view of a member. Other members fill in only Member.
 type MemberStatus struct {
 	Member
 	Match     uint64
-	IdleTicks int // since the member was last heard
+	IdleTicks int // ticks since the last message of the member
 	State     ProgressState
 	Reachable bool
 }
 
-// Status gives the member's view of its group.
+// Status returns this member's view of its group.
 func (n *Node) Status() Status {
 	s := Status{
 		ID: n.config.ID, Role: n.role, Leader: n.leader, Term: n.term,
@@ -52,15 +52,15 @@
 	return s
 }
 
-// follows says whether a member answers, takes the log entry by entry, and holds
-// what was committed an election timeout ago. One that has just come back after
-// long does not: without it the state of the others is no less needed.
+// follows reports whether a member responds, replicates entry by entry, and holds the
+// entries that were committed an election timeout ago. A member that has just returned
+// after a long absence does not, so the group cannot yet rely on its copy of the log.
 func (n *Node) follows(p *progress) bool {
 	return p.state == Replicating && p.idle < n.config.ElectionTicks && p.match >= n.earlierCommit
 }
 
-// NeededAfter gives the index after which some member in reach still needs
-// entries of this leader's memory; the applied index if none does.
+// NeededAfter returns the lowest index after which a reachable member still needs the
+// entries in this leader's memory; the applied index if none does.
 func (n *Node) NeededAfter() uint64 {
 	needed := n.log.applied
 	for _, id := range n.memberIDs() {
@@ -79,18 +79,19 @@
 	return needed
 }
 
-// markCommit remembers, every election timeout, what was committed by then.
-func (n *Node) markCommit() {
-	n.sinceMark++
-	if n.sinceMark >= n.config.ElectionTicks {
+// sampleCommit records the commit index once per election timeout.
+func (n *Node) sampleCommit() {
+	n.sinceSample++
+	if n.sinceSample >= n.config.ElectionTicks {
 		n.earlierCommit, n.recentCommit = n.recentCommit, n.log.commit
-		n.sinceMark = 0
+		n.sinceSample = 0
 	}
 }
 
-// tolerance counts under both memberships while a change is not committed. If
-// this leader is lost then, the others may never have seen the change: they
-// still need a majority of the old members, among them perhaps a lost one.
+// tolerance returns the number of following voters beyond a majority. While a membership
+// change is uncommitted, it is the lower of the numbers under both memberships: if this
+// leader is lost, the others may not have the change and still need a majority of the
+// old members, which may include a lost one.
 func (n *Node) tolerance() int {
 	return min(n.toleranceOf(n.Membership()), n.toleranceOf(n.log.membershipAt(n.log.commit)))
 }
--- a/internal/quorum/types.go
+++ b/internal/quorum/types.go
@@ -1,11 +1,11 @@
-// Package quorum decides agreement on a replicated log among the members of one
-// group. It is deterministic: messages, ticks and proposals go in; messages,
-// entries to persist and committed entries come out. It starts no goroutine,
-// reads no clock and does no I/O.
+// Package quorum implements consensus on a replicated log among the members of one
+// group. It is a deterministic state machine: its inputs are messages, ticks and
+// proposals, its outputs messages, entries to persist and committed entries. It starts
+// no goroutine, reads no clock and does no I/O; all of that is left to the caller.
 //
 // The algorithm is Raft with pre-vote, check-quorum, learners, one membership
-// change at a time (in force from the moment it is appended), read barriers
-// confirmed by a round of heartbeats, and leadership transfer.
+// change at a time (in effect as soon as it is appended), read barriers confirmed by a
+// round of heartbeats, and leadership transfer.
 package quorum
 
 import (
@@ -13,17 +13,17 @@
 	"fmt"
 )
 
-// ID names a member: one disk of one VM. A blank disk on the same VM is another
-// member. Zero is no member.
+// ID identifies a member, which is one disk of one VM. A blank disk on the same VM is
+// a different member. Zero is not a valid ID.
 type ID uint64
 
 // None is the ID of no member.
 const None ID = 0
 
-// String gives the ID in hexadecimal, as logs and the operator tool show it.
+// String returns the ID in hexadecimal, as shown in logs and by the operator tool.
 func (id ID) String() string { return fmt.Sprintf("%016x", uint64(id)) }
 
-// EntryKind says who reads an entry.
+// EntryKind determines who interprets an entry.
 type EntryKind uint8
 
 // Kinds of entries.
@@ -33,7 +33,7 @@
 	EntryMembership                  // a new membership of the group
 )
 
-// Entry is one position of the log.
+// Entry is an entry of the replicated log.
 type Entry struct {
 	Term       uint64      `cbor:"1,keyasint"`
 	Index      uint64      `cbor:"2,keyasint"`
@@ -42,43 +42,43 @@
 	Membership *Membership `cbor:"5,keyasint,omitempty"`
 }
 
-// entryOverhead is what an entry costs on the wire beside its data, in bytes.
+// entryOverhead is the size of an entry on the wire without its data, in bytes.
 const entryOverhead = 32
 
 func (e *Entry) size() int { return len(e.Data) + entryOverhead }
 
-// HardState must be synced before the messages that depend on it are sent.
+// HardState is the persistent state beside the log. It must be synced before the
+// messages that depend on it are sent.
 type HardState struct {
 	Term   uint64 `cbor:"1,keyasint"`
 	Vote   ID     `cbor:"2,keyasint,omitempty"`
 	Commit uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// SnapshotMeta places a snapshot in the log.
+// SnapshotMeta holds the position of a snapshot in the log and the membership there.
 type SnapshotMeta struct {
 	Index      uint64     `cbor:"1,keyasint"`
 	Term       uint64     `cbor:"2,keyasint"`
 	Membership Membership `cbor:"3,keyasint"`
 }
 
-// BootstrapIndex and BootstrapTerm place the empty state that a new group
-// starts from. They are above zero so that a blank member, whose log is at
-// index zero, always takes a snapshot and with it the membership.
+// BootstrapIndex and BootstrapTerm are the position of the empty state that a new group
+// starts from. They are above zero so that a blank member, whose log is at index zero,
+// always installs a snapshot and receives the membership with it.
 const (
 	BootstrapIndex uint64 = 1
 	BootstrapTerm  uint64 = 1
 )
 
-// Bootstrap is the snapshot that every initial member of a new group starts
-// from.
+// Bootstrap returns the snapshot that every initial member of a new group starts from.
 func Bootstrap(initial Membership) SnapshotMeta {
 	return SnapshotMeta{Index: BootstrapIndex, Term: BootstrapTerm, Membership: initial}
 }
 
-// MessageType names the kinds of messages.
+// MessageType is the type of a message between members.
 type MessageType uint8
 
-// Messages between members.
+// Types of messages between members.
 const (
 	MsgAppend MessageType = iota + 1
 	MsgAppendResponse
@@ -89,12 +89,13 @@
 	MsgVote
 	MsgVoteResponse
 	MsgTimeoutNow
-	// MsgSnapshot tells a member that the data of Snapshot has arrived in full.
-	// The sending host hands it over together with the last chunk.
+	// MsgSnapshot notifies a member that the data of Snapshot has arrived in full. The
+	// sending host delivers it together with the last chunk.
 	MsgSnapshot
 )
 
-// Message is what members of a group exchange.
+// Message is a message between two members of a group. The fields in use depend on its
+// Type.
 type Message struct {
 	Type     MessageType   `cbor:"1,keyasint"`
 	From     ID            `cbor:"2,keyasint"`
@@ -105,55 +106,56 @@
 	Entries  []Entry       `cbor:"7,keyasint,omitempty"`
 	Commit   uint64        `cbor:"8,keyasint,omitempty"`
 	Reject   bool          `cbor:"9,keyasint,omitempty"`
-	Hint     uint64        `cbor:"10,keyasint,omitempty"` // rejecting member's last possible match
+	Hint     uint64        `cbor:"10,keyasint,omitempty"` // last possible match in the log of the rejecting member
 	HintTerm uint64        `cbor:"11,keyasint,omitempty"` // term of the entry at Hint
-	Round    uint64        `cbor:"12,keyasint,omitempty"` // heartbeat: round that confirms reads; append: number of a probe; repeated by the answer
-	Transfer bool          `cbor:"13,keyasint,omitempty"` // vote asked on the leader's order
+	Round    uint64        `cbor:"12,keyasint,omitempty"` // heartbeat: round that confirms reads; append: number of a position query; echoed in the response
+	Transfer bool          `cbor:"13,keyasint,omitempty"` // vote request of a leadership transfer
 	Snapshot *SnapshotMeta `cbor:"14,keyasint,omitempty"`
-	// Committed is, of a heartbeat, the leader's commit index, also beyond what the
-	// member holds.
+	// Committed is the leader's commit index in a heartbeat. Unlike Commit it may be
+	// beyond the member's log.
 	Committed uint64 `cbor:"15,keyasint,omitempty"`
 }
 
-// ReadState says that the read of this ID may be served once the entry at
-// Index is applied.
+// ReadState is a confirmed read barrier: the read with this ID may be served once the
+// entry at Index is applied.
 type ReadState struct {
 	ID    uint64
 	Index uint64
 }
 
-// Ready is the work that the shell does between two calls of Advance.
+// Ready is the work that the caller does before it calls Advance.
 type Ready struct {
-	// HardState and Entries are persisted and synced; HardState is nil when it
-	// need not be written.
+	// HardState and Entries must be written and synced; HardState is nil if it need
+	// not be written.
 	HardState *HardState
 	Entries   []Entry
-	// Snapshot replaces the machine's state and the whole log. Its data has
-	// arrived before.
+	// Snapshot replaces the state of the state machine and the whole log. Its data has
+	// already arrived.
 	Snapshot *SnapshotMeta
-	// AfterSync are sent once HardState, Entries and Snapshot are synced.
+	// AfterSync holds messages to send once HardState, Entries and Snapshot are synced.
 	AfterSync []Message
-	// Committed are synced here and on a majority: apply them in order.
+	// Committed holds entries that are synced here and on a majority, to be applied in
+	// order.
 	Committed []Entry
 }
 
-// Outbox is the work that waits for no disk: the shell takes it after every
-// call, also while a Ready is in progress.
+// Outbox is the work that need not wait for a sync. The caller takes it after every
+// call of a method, even while a Ready is in progress.
 type Outbox struct {
 	Messages []Message
 	Reads    []ReadState
-	// Snapshots are members that need the newest snapshot. The shell transfers
-	// it and calls ReportSnapshot.
+	// Snapshots lists members that need the newest snapshot. The caller transfers it
+	// and calls ReportSnapshot.
 	Snapshots []ID
 }
 
-// Errors of proposals. Nothing was appended when one is returned.
+// Errors of proposals. If one is returned, nothing was appended.
 var (
 	ErrNotLeader     = errors.New("quorum: not the leader")
 	ErrTransferring  = errors.New("quorum: leadership is being transferred")
 	ErrNotCaughtUp   = errors.New("quorum: the learner has not synced the whole log")
 	ErrChangePending = errors.New("quorum: another membership change is not committed yet")
-	ErrNoSuchMember  = errors.New("quorum: no such member")
-	ErrIsMember      = errors.New("quorum: is a member already")
-	ErrUnsafeRemoval = errors.New("quorum: the voters that stay in reach would be no majority")
+	ErrNoSuchMember  = errors.New("quorum: the group has no such member")
+	ErrIsMember      = errors.New("quorum: already a member of the group, or already a voter")
+	ErrUnsafeRemoval = errors.New("quorum: the reachable voters that remain would not be a majority")
 )
