--- a/internal/order/export_test.go
+++ b/internal/order/export_test.go
@@ -1,5 +1,4 @@
 package order
 
-// IgnoreFlight is the switch that takes the guard against the orders of an
-// earlier orderer away.
-func (o *Orderer) IgnoreFlight() { o.ignoreFlight = true }
+// IgnoreInFlight turns off the protection against in-flight orders of an earlier orderer.
+func (o *Orderer) IgnoreInFlight() { o.ignoreInFlight = true }
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -14,8 +14,7 @@
 	"slateway.example/slateway/internal/order"
 )
 
-// TestMain fixes the seed of the properties, so that each run has the same
-// verdict.
+// TestMain fixes the seed of the property tests, so that each run gives the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
@@ -31,7 +30,7 @@
 	v2 = order.Model{Name: "wordroom", Version: "2"}
 )
 
-// fakeEngine carries orders out after a delay, as engines do.
+// fakeEngine executes orders after a delay, as engines do.
 type fakeEngine struct {
 	order.Engine
 	state   order.State
@@ -59,7 +58,7 @@
 	return state
 }
 
-// advance carries out what has arrived by now.
+// advance executes the orders that have arrived by now.
 func (e *fakeEngine) advance(now time.Time) {
 	for len(e.arrived) > 0 && !e.arrived[0].at.After(now) {
 		next := e.arrived[0]
@@ -96,8 +95,8 @@
 	return o
 }
 
-// carry does what the orderer asks for, each order after its delay.
-func carry(o *order.Orderer, now time.Time, delay time.Duration, engines ...*fakeEngine) []order.Action {
+// execute executes the actions of a step: state queries immediately, orders after delay.
+func execute(o *order.Orderer, now time.Time, delay time.Duration, engines ...*fakeEngine) []order.Action {
 	actions := o.Step(now)
 	for _, action := range actions {
 		i := slices.IndexFunc(engines, func(e *fakeEngine) bool { return e.Name == action.Engine })
@@ -110,19 +109,18 @@
 	return actions
 }
 
-// An orderer sends its engine the unloading of version 1 and loses its lease;
-// the order is slow on its way. Meanwhile operators have gone back to version 1.
-// The next orderer finds version 1 in place and does nothing, then the late order
-// takes it away, and the service has no replica, with nobody looking. Engines
-// that check fencing numbers refuse the late order; for the others the next
-// orderer waits until no order can be on its way, and reads back after that.
+// An orderer orders an engine to unload version 1 and loses its lease; the order is
+// delayed. Operators return to version 1, and the next orderer finds it loaded. If the
+// delayed order were then executed unnoticed, the service would have no replica. Engines
+// that check fencing numbers reject it; for the others the next orderer waits until no
+// order can be in flight, and queries the state after that.
 func TestStaleOrderer(t *testing.T) {
 	cases := []struct {
-		name         string
-		checks       bool
-		guard        bool
-		lateApplied  bool
-		orderedEarly bool
+		name           string
+		checks         bool
+		guard          bool
+		delayedApplied bool
+		orderedEarly   bool
 	}{
 		{"engine checks the number", true, true, false, true},
 		{"engine ignores the number", false, true, true, false},
@@ -132,32 +130,32 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			engine := newEngine("e1", c.checks, v1)
-			late := arrival{order.Order{Kind: order.UnloadModel, Model: v1}, 1, start.Add(8 * time.Second)}
+			delayed := arrival{order.Order{Kind: order.UnloadModel, Model: v1}, 1, start.Add(8 * time.Second)}
 			want := []order.Want{{Model: v1, Min: 1, Adapters: []string{"formal"}}}
 			next := newOrderer(2, start, want, engine)
 			if !c.guard {
-				next.IgnoreFlight()
+				next.IgnoreInFlight()
 			}
 			early := false
 			for second := range 12 {
 				now := start.Add(time.Duration(second) * time.Second)
 				if second == 8 {
-					engine.arrived = append([]arrival{late}, engine.arrived...)
+					engine.arrived = append([]arrival{delayed}, engine.arrived...)
 				}
 				engine.advance(now)
-				for _, action := range carry(next, now, 0, engine) {
+				for _, action := range execute(next, now, 0, engine) {
 					early = early || (!action.Read && second < 10)
 				}
 			}
 			lost := slices.ContainsFunc(engine.applied, func(o order.Order) bool { return o.Kind == order.UnloadModel })
-			g.Expect(lost).To(Equal(c.lateApplied))
+			g.Expect(lost).To(Equal(c.delayedApplied))
 			g.Expect(early).To(Equal(c.orderedEarly))
 		})
 	}
 }
 
-// The same late order, seen to its end: once the guard's wait is over, the
-// orderer has read what the late order did and has put it right.
+// The same delayed order on an engine that ignores fencing numbers: after the wait, the
+// orderer finds its effect and loads the model again.
 func TestEngineThatIgnoresFencingIsPutRight(t *testing.T) {
 	g := NewWithT(t)
 	engine := newEngine("e1", false, v1)
@@ -166,7 +164,7 @@
 	for second := range 30 {
 		now := start.Add(time.Duration(second) * time.Second)
 		engine.advance(now)
-		for _, action := range carry(next, now, time.Second, engine) {
+		for _, action := range execute(next, now, time.Second, engine) {
 			if !action.Read {
 				g.Expect(second).To(BeNumerically(">=", 10))
 			}
@@ -175,15 +173,15 @@
 	g.Expect(engine.state.Models).To(Equal([]order.Model{v1}))
 }
 
-// Two orderers race: the older one still believes in its lease. It must fall
-// silent when it sees that an engine has met a greater number, and near its end.
+// An older orderer still believes that it holds the lease. It must send no orders once an
+// engine reports a greater fencing number, or when its lease is about to end.
 func TestOrdererFallsSilent(t *testing.T) {
 	g := NewWithT(t)
 	engine := newEngine("e1", true)
 	old := newOrderer(1, start, []order.Want{{Model: v1, Min: 1}}, engine)
 	engine.state.Fence = 2
 	for second := range 20 {
-		for _, action := range carry(old, start.Add(time.Duration(second)*time.Second), 0, engine) {
+		for _, action := range execute(old, start.Add(time.Duration(second)*time.Second), 0, engine) {
 			g.Expect(action.Read).To(BeTrue())
 			g.Expect(second).To(BeZero())
 		}
@@ -201,12 +199,12 @@
 		o.Step(start.Add(after))
 		return o.Target(v1, "")
 	}
-	g.Expect(target(0, 10)).To(Equal(2)) // 10 slots of 8 at a fill of 0.7
+	g.Expect(target(0, 10)).To(Equal(2)) // 10 slots at 8 per engine and a utilization of 0.7
 	g.Expect(target(time.Second, 0)).To(Equal(2))
 	g.Expect(target(2*time.Second, 20)).To(Equal(4))
 	g.Expect(target(3*time.Second, 0)).To(Equal(4))
-	g.Expect(target(order.DefaultDownAfter+2*time.Second, 0)).To(Equal(4))
-	g.Expect(target(order.DefaultDownAfter+3*time.Second, 0)).To(Equal(1))
+	g.Expect(target(order.DefaultScaleDownDelay+2*time.Second, 0)).To(Equal(4))
+	g.Expect(target(order.DefaultScaleDownDelay+3*time.Second, 0)).To(Equal(1))
 }
 
 func TestExportGoesBeforeUnloadAndRoleChange(t *testing.T) {
@@ -217,7 +215,7 @@
 	o := newOrderer(1, start, []order.Want{{Model: v1, Role: "decode", Min: 1, Bytes: 1 << 20}}, engine)
 	for second := range 100 {
 		now := start.Add(time.Duration(second) * time.Second)
-		carry(o, now, time.Second, engine)
+		execute(o, now, time.Second, engine)
 		engine.advance(now.Add(time.Second))
 	}
 	var kinds []order.Kind
@@ -229,12 +227,11 @@
 	g.Expect(engine.state.Models).To(Equal([]order.Model{v1}))
 }
 
-// Whatever is wanted and whichever engines come and go: no order takes the last
-// ready replica of a model that is wanted, loads keep to the store's rate, and
-// an engine has one order at a time.
+// For any wants and engines, no order removes the last replica of a wanted model, loads
+// stay within the store's rate, and each engine has at most one order at a time.
 func TestMovesKeepTheLastReplica(t *testing.T) {
 	models := []order.Model{v1, v2, {Name: "pagedesk", Version: "1"}, {Name: "plates", Version: "1"}}
-	const bytes = 3 * order.DefaultStoreBytesPerSecond // three seconds of the store
+	const bytes = 3 * order.DefaultStoreBytesPerSecond // takes the store three seconds to send
 	rapid.Check(t, func(rt *rapid.T) {
 		var engines []*fakeEngine
 		for i := range rapid.IntRange(1, 6).Draw(rt, "engines") {
@@ -258,7 +255,7 @@
 			for _, m := range models {
 				before[m.Name] = replicas(engines, m.Name)
 			}
-			for _, action := range carry(o, now, time.Second, engines...) {
+			for _, action := range execute(o, now, time.Second, engines...) {
 				if action.Order.Kind == order.LoadModel {
 					loaded += bytes
 				}
@@ -273,7 +270,7 @@
 			}
 			for _, e := range engines {
 				if len(e.arrived) > 1 {
-					rt.Fatalf("second %d: %s has %d orders at once", second, e.Name, len(e.arrived))
+					rt.Fatalf("second %d: %s has %d orders in flight, want at most 1", second, e.Name, len(e.arrived))
 				}
 			}
 			if limit := order.DefaultStoreBytesPerSecond*second + bytes; loaded > limit {
@@ -293,7 +290,8 @@
 	return wants
 }
 
-// replicas counts engines that have any version of the model and will keep it.
+// replicas returns the number of engines that have any version of the model and no order
+// to unload it.
 func replicas(engines []*fakeEngine, name string) int {
 	count := 0
 	for _, e := range engines {
--- a/internal/order/orderer.go
+++ b/internal/order/orderer.go
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// Orderer is the decision of one place. It is not safe for concurrent use.
+// Orderer plans the orders for the engines of a place. It is not safe for concurrent use.
 type Orderer struct {
-	config     Config
-	tenure     Tenure
-	superseded bool // an engine has seen a greater fencing number
-	engines    []*engine
-	wants      []Want
-	targets    map[key]*target
-	storeFree  time.Time // when the loads ordered so far have used their share of the store
-	blocked    []Blocked
+	config         Config
+	lease          Tenure
+	superseded     bool // an engine has received a greater fencing number
+	engines        []*engine
+	wants          []Want
+	targets        map[key]*target
+	storeBusyUntil time.Time // time until which earlier loads reserve the weight store
+	blocked        []Blocked
 
-	ignoreFlight bool // tests only: trust the lease, as if no order were in flight
+	ignoreInFlight bool // for tests: assume that no earlier orderer's order is in flight
 }
 
-// engine is an engine and what was last read of it.
+// engine is an engine with its last known state and its pending order.
 type engine struct {
 	Engine
-	state    State
-	readAt   time.Time // start of the reading; zero if never
-	askedAt  time.Time // of the reading under way
-	pending  *Order
-	sentAt   time.Time
-	exported bool // its KV cache was exported for the change that comes next
+	state        State
+	queriedAt    time.Time // start of the last completed state query; zero if none
+	queryStarted time.Time // start of the state query in progress; zero if none
+	pending      *Order
+	sentAt       time.Time // when pending was sent
+	exported     bool      // its KV cache was exported for the next change
 }
 
-// Blocked names a want that cannot be met, and why.
+// Blocked is a want for which no replica can be added now, and the reason.
 type Blocked struct {
 	Model  Model
 	Role   string
 	Reason string
 }
 
-// New makes an Orderer without tenure.
+// New creates an Orderer without a lease.
 func New(config Config) *Orderer {
 	config = config.withDefaults()
 	return &Orderer{
@@ -48,22 +48,23 @@
 	}
 }
 
-// Grant takes a new or renewed tenure. A new fencing number makes all that was
-// read before void: another orderer may have worked in between.
-func (o *Orderer) Grant(tenure Tenure) {
-	if tenure.Fence == o.tenure.Fence {
-		o.tenure.Until = tenure.Until
+// SetLease records a new or renewed lease. A new fencing number discards all state read
+// before, because another orderer may have been active in between.
+func (o *Orderer) Grant(lease Tenure) {
+	if lease.Fence == o.lease.Fence {
+		o.lease.Until = lease.Until
 		return
 	}
-	o.tenure = tenure
+	o.lease = lease
 	o.superseded = false
 	for _, e := range o.engines {
-		e.readAt, e.askedAt = time.Time{}, time.Time{}
+		e.queriedAt, e.queryStarted = time.Time{}, time.Time{}
 		e.pending = nil
 	}
 }
 
-// Announce takes what an engine says of itself. After a restart it is read anew.
+// UpdateEngine records an engine's announcement. If the engine has restarted, its known
+// state is discarded and queried again.
 func (o *Orderer) Announce(announced Engine) {
 	i, found := o.find(announced.Name)
 	if !found {
@@ -77,7 +78,7 @@
 	e.Engine = announced
 }
 
-// Remove forgets an engine that is gone.
+// Remove removes an engine that no longer exists.
 func (o *Orderer) Remove(name string) {
 	if i, found := o.find(name); found {
 		o.engines = slices.Delete(o.engines, i, i+1)
@@ -95,7 +96,7 @@
 	})
 }
 
-// ReadBack takes an engine's answer to a reading.
+// RecordState records an engine's answer to a state query.
 func (o *Orderer) ReadBack(name string, state State) {
 	i, found := o.find(name)
 	if !found {
@@ -103,35 +104,35 @@
 	}
 	e := o.engines[i]
 	e.state = state
-	e.readAt, e.askedAt = e.askedAt, time.Time{}
-	if state.Fence > o.tenure.Fence {
+	e.queriedAt, e.queryStarted = e.queryStarted, time.Time{}
+	if state.Fence > o.lease.Fence {
 		o.superseded = true
 	}
-	if e.pending != nil && e.readAt.After(e.sentAt) {
-		// An export whose answer was lost is not repeated for ever: it saves
-		// work, and the change behind it must come.
+	if e.pending != nil && e.queriedAt.After(e.sentAt) {
+		// An export whose answer was lost is not repeated: it only saves work, and
+		// must not delay the change that follows it.
 		e.exported = e.pending.Kind == ExportKV
 		e.pending = nil
 	}
 }
 
-// Failed takes the failure of an order or reading. If the engine refused the
-// order it is read anew at once; if the outcome is unknown, only after the
-// longest time that the order may take.
+// RecordFailure records the failure of an order or state query. If the engine rejected the
+// order, its state is queried again immediately; if the outcome is unknown, only after
+// MaxOrderDuration.
 func (o *Orderer) Failed(name string, refused bool) {
 	i, found := o.find(name)
 	if !found {
 		return
 	}
 	e := o.engines[i]
-	e.askedAt = time.Time{}
+	e.queryStarted = time.Time{}
 	if refused {
 		e.pending = nil
-		e.readAt = time.Time{}
+		e.queriedAt = time.Time{}
 	}
 }
 
-// Answered takes an engine's confirmation that the pending order took effect.
+// ConfirmOrder records an engine's confirmation that the pending order took effect.
 func (o *Orderer) Answered(name string, state State) {
 	i, found := o.find(name)
 	if !found || o.engines[i].pending == nil {
@@ -143,77 +144,77 @@
 	e.state = state
 }
 
-// Blocked lists the wants that the last step could not meet.
+// Blocked returns the wants for which the last Step could not add a replica.
 func (o *Orderer) Blocked() []Blocked { return o.blocked }
 
-// Step decides what to do now.
+// Step returns the calls to make now.
 func (o *Orderer) Step(now time.Time) []Action {
 	o.updateTargets(now)
 	o.blocked = nil
-	if !o.holds(now) {
+	if !o.hasLease(now) {
 		return nil
 	}
-	actions := o.readings(now)
+	actions := o.stateQueries(now)
 	return append(actions, o.plan(now)...)
 }
 
-// holds reports whether this orderer may order at all: it has a tenure that
-// lasts long enough to send, and no engine has seen a newer one.
-func (o *Orderer) holds(now time.Time) bool {
-	return o.tenure.Fence > 0 && !o.superseded && now.Add(o.config.SendMargin).Before(o.tenure.Until)
+// hasLease reports whether this orderer may send orders: its lease lasts for at least
+// SendMargin, and no engine has received a newer fencing number.
+func (o *Orderer) hasLease(now time.Time) bool {
+	return o.lease.Fence > 0 && !o.superseded && now.Add(o.config.SendMargin).Before(o.lease.Until)
 }
 
-// mayOrder guards against the last orders of the orderer before. It may have
-// sent one just before its lease ran out, and an engine that ignores fencing
-// numbers carries it out whenever it arrives: it would undo an order that this
-// orderer sent meanwhile, and nobody would look again. So such an engine is left
-// alone until the longest order is over, and is read back after that. An engine
-// that checks the number refuses the late order once it has seen a newer one; it
-// is read back, then ordered at once.
+// mayOrder reports whether e may receive an order. The previous orderer may have sent
+// one just before its lease ended, and an engine that ignores fencing numbers executes
+// it whenever it arrives, possibly undoing an order of this orderer. Such an engine gets
+// no order until MaxOrderDuration has passed and its state has been queried after that.
+// An engine that checks fencing numbers rejects the delayed order once it has received a
+// newer number: it gets orders as soon as its state has been queried.
 func (o *Orderer) mayOrder(now time.Time, e *engine) bool {
-	if e.pending != nil || e.readAt.IsZero() || e.Leaving || !e.Ready {
+	if e.pending != nil || e.queriedAt.IsZero() || e.Leaving || !e.Ready {
 		return false
 	}
-	return !e.readAt.Before(o.orderFrom(e)) && now.Add(o.config.SendMargin).Before(o.tenure.Until)
+	return !e.queriedAt.Before(o.ordersAllowedFrom(e)) && now.Add(o.config.SendMargin).Before(o.lease.Until)
 }
 
-func (o *Orderer) orderFrom(e *engine) time.Time {
-	if e.ChecksFencing || o.ignoreFlight {
-		return o.tenure.Since
+func (o *Orderer) ordersAllowedFrom(e *engine) time.Time {
+	if e.ChecksFencing || o.ignoreInFlight {
+		return o.lease.Since
 	}
-	return o.tenure.Since.Add(o.config.LongestOrder)
+	return o.lease.Since.Add(o.config.LongestOrder)
 }
 
-// readings asks engines for their state: never read, due, or an order whose
-// outcome is not known after the longest time that it can take.
-func (o *Orderer) readings(now time.Time) []Action {
+// stateQueries returns the state queries that are due: for engines that were never
+// queried, at the regular interval, and when the outcome of an order is still unknown
+// after MaxOrderDuration.
+func (o *Orderer) stateQueries(now time.Time) []Action {
 	var actions []Action
 	for _, e := range o.engines {
-		if !o.readingDue(now, e) {
+		if !o.stateQueryDue(now, e) {
 			continue
 		}
-		e.askedAt = now
-		actions = append(actions, Action{Engine: e.Name, Read: true, NotAfter: now.Add(o.config.ReadEvery)})
+		e.queryStarted = now
+		actions = append(actions, Action{Engine: e.Name, Read: true, NotAfter: now.Add(o.config.QueryInterval)})
 	}
 	return actions
 }
 
-func (o *Orderer) readingDue(now time.Time, e *engine) bool {
-	if !e.askedAt.IsZero() && now.Sub(e.askedAt) < o.config.ReadEvery {
-		return false // under way
+func (o *Orderer) stateQueryDue(now time.Time, e *engine) bool {
+	if !e.queryStarted.IsZero() && now.Sub(e.queryStarted) < o.config.QueryInterval {
+		return false // in progress
 	}
 	if e.pending != nil && now.Sub(e.sentAt) < o.config.LongestOrder {
 		return false
 	}
-	needed := e.readAt.Before(o.orderFrom(e)) && !now.Before(o.orderFrom(e))
-	return e.readAt.IsZero() || needed || now.Sub(e.readAt) >= o.config.ReadEvery
+	needed := e.queriedAt.Before(o.ordersAllowedFrom(e)) && !now.Before(o.ordersAllowedFrom(e))
+	return e.queriedAt.IsZero() || needed || now.Sub(e.queriedAt) >= o.config.QueryInterval
 }
 
-// send makes the action of an order and remembers that it is under way.
+// send returns the action that sends an order and records the order as pending.
 func (o *Orderer) send(now time.Time, e *engine, order Order) Action {
 	e.pending = &order
 	e.sentAt = now
-	return Action{Engine: e.Name, Order: order, Fence: o.tenure.Fence, NotAfter: o.tenure.Until}
+	return Action{Engine: e.Name, Order: order, Fence: o.lease.Fence, NotAfter: o.lease.Until}
 }
 
 func (o *Orderer) find(name string) (int, bool) {
--- a/internal/order/plan.go
+++ b/internal/order/plan.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// plan decides orders: first loads for wants that lack replicas, the neediest
-// first, then adapters, then old versions that nothing needs any more.
+// plan returns the next orders: first those for wants that lack replicas, in order of
+// need, then loads of adapters, then unloads of versions that are no longer needed.
 func (o *Orderer) plan(now time.Time) []Action {
 	var actions []Action
-	for _, want := range o.neediest() {
-		if action, ok := o.provide(now, want); ok {
+	for _, want := range o.wantsBelowTarget() {
+		if action, ok := o.addReplica(now, want); ok {
 			actions = append(actions, action)
 		}
 	}
 	for i := range o.wants {
-		actions = append(actions, o.adapters(now, &o.wants[i])...)
+		actions = append(actions, o.loadAdapters(now, &o.wants[i])...)
 	}
-	return append(actions, o.cleanUp(now)...)
+	return append(actions, o.unloadOldVersions(now)...)
 }
 
-// neediest lists the wants below their target, those without any replica first.
-func (o *Orderer) neediest() []*Want {
+// wantsBelowTarget returns the wants below their target, in ascending order of the share
+// of their target that they have.
+func (o *Orderer) wantsBelowTarget() []*Want {
 	var lacking []*Want
 	for i := range o.wants {
 		if o.count(&o.wants[i]) < o.targets[o.wants[i].key()].count {
@@ -34,7 +35,7 @@
 	return lacking
 }
 
-// count gives the engines that have, or are getting, what want asks for.
+// count returns the number of engines that have the want's model or are loading it.
 func (o *Orderer) count(want *Want) int {
 	count := 0
 	for _, e := range o.engines {
@@ -45,8 +46,8 @@
 	return count
 }
 
-// serves reports whether e has the want's version in its role. Planned counts
-// loads under way, too.
+// serves reports whether e is ready and has the want's version in its role. With
+// planned, engines that are loading it or are not ready count too.
 func (e *engine) serves(want *Want, planned bool) bool {
 	if e.Leaving || !e.hasRole(want.Role) {
 		return false
@@ -59,14 +60,14 @@
 
 func (e *engine) hasRole(role string) bool { return role == "" || e.state.Role == role }
 
-func (e *engine) hasRoom() bool { return len(e.state.Models) < max(1, e.MaxModels) }
+func (e *engine) hasCapacity() bool { return len(e.state.Models) < max(1, e.MaxModels) }
 
-// provide moves one step towards one more replica of want: load it where there
-// is room, else make room, else change a role.
-func (o *Orderer) provide(now time.Time, want *Want) (Action, bool) {
+// addReplica returns the next order towards one more replica of want: a load on an
+// engine with free capacity, else an unload that frees capacity, else a role change.
+func (o *Orderer) addReplica(now time.Time, want *Want) (Action, bool) {
 	candidates := o.candidates(now, want)
 	for _, e := range candidates {
-		if e.hasRole(want.Role) && e.hasRoom() {
+		if e.hasRole(want.Role) && e.hasCapacity() {
 			return o.load(now, e, want)
 		}
 	}
@@ -74,24 +75,24 @@
 		if !e.hasRole(want.Role) {
 			continue
 		}
-		if model, ok := o.spareModel(e); ok {
+		if model, ok := o.evictableModel(e); ok {
 			return o.withExport(now, e, Order{Kind: UnloadModel, Model: model}), true
 		}
 	}
 	for _, e := range candidates {
-		if !e.hasRole(want.Role) && o.allSpare(e) {
+		if !e.hasRole(want.Role) && o.mayUnloadAll(e) {
 			return o.withExport(now, e, Order{Kind: SetRole, Role: want.Role}), true
 		}
 	}
 	o.blocked = append(o.blocked, Blocked{
 		Model: want.Model, Role: want.Role,
-		Reason: "no engine has room, and none can give up a model without taking a wanted model's last ready replica",
+		Reason: "no engine has room, and none can unload a model without removing the last ready replica of a wanted model",
 	})
 	return Action{}, false
 }
 
-// candidates lists the engines that may be ordered and lack the want, the least
-// busy first.
+// candidates returns the engines that may receive an order and lack the want's model,
+// the least busy first.
 func (o *Orderer) candidates(now time.Time, want *Want) []*engine {
 	var list []*engine
 	for _, e := range o.engines {
@@ -103,20 +104,22 @@
 	return list
 }
 
-// load orders a load if the weight store has time for it. A token bucket does not
-// fit: one model is larger than any sensible burst. Each load takes the store for
-// its bytes at the store's rate instead, and the next one waits for that.
+// load returns a load order if the rate of the weight store allows one. A token bucket
+// does not fit, since one model is larger than any sensible burst. Instead each load
+// reserves the store for the time that its bytes take at the store's rate, and the next
+// load waits until then.
 func (o *Orderer) load(now time.Time, e *engine, want *Want) (Action, bool) {
-	if now.Before(o.storeFree) {
-		o.blocked = append(o.blocked, Blocked{Model: want.Model, Role: want.Role, Reason: "the weight store's rate is used up"})
+	if now.Before(o.storeBusyUntil) {
+		o.blocked = append(o.blocked, Blocked{Model: want.Model, Role: want.Role, Reason: "the rate limit of the weight store is reached; the load waits for earlier ones"})
 		return Action{}, false
 	}
 	seconds := float64(want.Bytes) / float64(o.config.StoreBytesPerSecond)
-	o.storeFree = now.Add(time.Duration(seconds * float64(time.Second)))
+	o.storeBusyUntil = now.Add(time.Duration(seconds * float64(time.Second)))
 	return o.send(now, e, Order{Kind: LoadModel, Model: want.Model}), true
 }
 
-// withExport puts an export of the KV cache before a change that loses it.
+// withExport returns an order to export the KV cache if change would lose it and it has
+// not been exported yet, else the order for the change itself.
 func (o *Orderer) withExport(now time.Time, e *engine, change Order) Action {
 	if e.KVExport && !e.exported {
 		return o.send(now, e, Order{Kind: ExportKV, Model: change.Model})
@@ -125,24 +128,25 @@
 	return o.send(now, e, change)
 }
 
-// spareModel finds a model that e may lose.
-func (o *Orderer) spareModel(e *engine) (Model, bool) {
+// evictableModel returns a model that e may unload.
+func (o *Orderer) evictableModel(e *engine) (Model, bool) {
 	for _, model := range e.state.Models {
-		if o.spare(e, model) {
+		if o.mayUnload(e, model) {
 			return model, true
 		}
 	}
 	return Model{}, false
 }
 
-func (o *Orderer) allSpare(e *engine) bool {
-	return !slices.ContainsFunc(e.state.Models, func(m Model) bool { return !o.spare(e, m) })
+func (o *Orderer) mayUnloadAll(e *engine) bool {
+	return !slices.ContainsFunc(e.state.Models, func(m Model) bool { return !o.mayUnload(e, m) })
 }
 
-// spare reports whether e may lose model: a wanted version if its want keeps its
-// target and a ready replica without e, an old version if the model keeps a
-// ready replica of some version, an unwanted model always.
-func (o *Orderer) spare(e *engine, model Model) bool {
+// mayUnload reports whether e may unload model. It may unload a wanted version if the
+// want has more replicas than its target and a ready one elsewhere, an old version if
+// another engine has a ready replica of any version of the model, and an unwanted model
+// always.
+func (o *Orderer) mayUnload(e *engine, model Model) bool {
 	for i := range o.wants {
 		want := &o.wants[i]
 		if want.Model.Name != model.Name || !e.hasRole(want.Role) {
@@ -159,7 +163,8 @@
 	return true
 }
 
-// modelElsewhere counts ready replicas of any version of the want's model.
+// modelElsewhere returns the number of ready replicas of any version of the want's model
+// on engines other than e without a pending order.
 func (o *Orderer) modelElsewhere(e *engine, want *Want) int {
 	count := 0
 	for _, other := range o.engines {
@@ -171,8 +176,8 @@
 	return count
 }
 
-// readyElsewhere counts ready replicas of want on engines other than e that are
-// not losing it.
+// readyElsewhere returns the number of ready replicas of want on engines other than e
+// without a pending order, which could remove it.
 func (o *Orderer) readyElsewhere(e *engine, want *Want) int {
 	count := 0
 	for _, other := range o.engines {
@@ -183,8 +188,9 @@
 	return count
 }
 
-// adapters orders one missing adapter for each engine that serves the want.
-func (o *Orderer) adapters(now time.Time, want *Want) []Action {
+// loadAdapters returns an order to load one missing adapter for each engine that serves
+// the want.
+func (o *Orderer) loadAdapters(now time.Time, want *Want) []Action {
 	var actions []Action
 	for _, e := range o.engines {
 		if !o.mayOrder(now, e) || !e.serves(want, false) {
@@ -198,9 +204,9 @@
 	return actions
 }
 
-// cleanUp unloads versions that nobody wants any more once a want of the same
-// model has its target.
-func (o *Orderer) cleanUp(now time.Time) []Action {
+// unloadOldVersions returns orders to unload versions without a want, once a want of the
+// same model has reached its target.
+func (o *Orderer) unloadOldVersions(now time.Time) []Action {
 	var actions []Action
 	for i := range o.wants {
 		want := &o.wants[i]
@@ -209,7 +215,7 @@
 		}
 		for _, e := range o.engines {
 			old, ok := o.oldVersion(e, want)
-			if ok && o.mayOrder(now, e) && o.spare(e, old) {
+			if ok && o.mayOrder(now, e) && o.mayUnload(e, old) {
 				actions = append(actions, o.withExport(now, e, Order{Kind: UnloadModel, Model: old}))
 			}
 		}
@@ -219,7 +225,7 @@
 
 func (o *Orderer) readyCount(want *Want) int { return o.readyElsewhere(nil, want) }
 
-// oldVersion finds a version of the want's model on e that no want names.
+// oldVersion returns a version of the want's model on e for which there is no want.
 func (o *Orderer) oldVersion(e *engine, want *Want) (Model, bool) {
 	if !e.hasRole(want.Role) {
 		return Model{}, false
--- a/internal/order/target.go
+++ b/internal/order/target.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// target is how many replicas a want should have.
+// target is the planned number of replicas of a want.
 type target struct {
 	count    int
-	lowSince time.Time // zero unless the demand asks for fewer
+	lowSince time.Time // when demand fell below the target; zero if it has not
 }
 
-// updateTargets follows demand: up at once, down only when demand has asked for
-// fewer for a while. Loading weights takes long and the store is slow, so a
-// target that followed each dip would move models for nothing.
+// updateTargets adjusts the targets to demand: up immediately, down only after demand
+// has been lower for ScaleDownDelay. Loading weights takes long and the store is slow,
+// so following each dip would cause needless unloads and loads.
 func (o *Orderer) updateTargets(now time.Time) {
 	wanted := map[key]bool{}
 	for i := range o.wants {
@@ -24,7 +24,7 @@
 			t = &target{}
 			o.targets[want.key()] = t
 		}
-		t.follow(now, o.needed(want), o.config.DownAfter)
+		t.adjust(now, o.neededReplicas(want), o.config.ScaleDownDelay)
 	}
 	for k := range o.targets {
 		if !wanted[k] {
@@ -33,7 +33,7 @@
 	}
 }
 
-func (t *target) follow(now time.Time, needed int, downAfter time.Duration) {
+func (t *target) adjust(now time.Time, needed int, downAfter time.Duration) {
 	switch {
 	case needed >= t.count:
 		t.count = needed
@@ -46,10 +46,11 @@
 	}
 }
 
-// needed gives the replicas that carry the demand at the planned fill.
-func (o *Orderer) needed(want *Want) int {
-	slots := o.typicalSlots()
-	count := int(math.Ceil(want.Demand / (slots * o.config.FillTo)))
+// neededReplicas returns the number of replicas that serve the demand at the planned
+// utilization, within the want's limits.
+func (o *Orderer) neededReplicas(want *Want) int {
+	slots := o.meanSlots()
+	count := int(math.Ceil(want.Demand / (slots * o.config.TargetUtilization)))
 	count = max(count, want.Min)
 	if want.Max > 0 {
 		count = min(count, want.Max)
@@ -57,8 +58,8 @@
 	return count
 }
 
-// typicalSlots is the mean of the engines' slots.
-func (o *Orderer) typicalSlots() float64 {
+// meanSlots returns the mean number of slots per engine, 1 if there are none.
+func (o *Orderer) meanSlots() float64 {
 	sum := 0
 	for _, e := range o.engines {
 		sum += e.Slots
@@ -69,7 +70,7 @@
 	return float64(sum) / float64(len(o.engines))
 }
 
-// Target gives the replicas planned for a want, for counters and operators.
+// Target returns the planned number of replicas of a want, for metrics and operators.
 func (o *Orderer) Target(model Model, role string) int {
 	if t := o.targets[key{model, role}]; t != nil {
 		return t.count
--- a/internal/order/types.go
+++ b/internal/order/types.go
@@ -1,33 +1,35 @@
-// Package order decides which orders the model engines of a place get: which
-// models, versions and adapters to load, and which role to take. It is a
-// deterministic aggregate; its shell reads engines back and sends the orders.
+// Package order plans the orders for the model engines of a place: which models,
+// versions and adapters each engine loads or unloads, and which role it takes. It is
+// deterministic and does no I/O: the caller queries the engines' state and sends the
+// orders.
 //
-// One orderer works in a place at a time, by a lease with a fencing number from
-// the replicated state. Orders go out one at a time to each engine, within the
-// weight store's rate, and never take a wanted model's last ready replica.
+// One orderer is active in a place at a time; it holds a lease with a fencing number
+// from the replicated state. Each engine gets one order at a time. Loads stay within
+// the rate of the weight store, and no order removes the last ready replica of a
+// wanted model.
 package order
 
 import "time"
 
-// Kind is the kind of an order.
+// Kind is the operation that an order requests.
 type Kind string
 
-// Kinds of orders, as engines take them.
+// Operations that engines accept.
 const (
 	LoadModel   Kind = "load_model"
 	UnloadModel Kind = "unload_model"
 	LoadAdapter Kind = "load_adapter"
 	SetRole     Kind = "set_role"
-	ExportKV    Kind = "export_kv" // to engines that offer it, before they lose a model or role
+	ExportKV    Kind = "export_kv" // to engines that support it, before they lose a model or role
 )
 
-// Model is one version of a model.
+// Model identifies a version of a model.
 type Model struct {
 	Name    string
 	Version string
 }
 
-// Order is one change that an engine is told to make.
+// Order is a change that an engine is instructed to make.
 type Order struct {
 	Kind    Kind
 	Model   Model
@@ -35,18 +37,18 @@
 	Role    string
 }
 
-// Want is what the teams' parameters ask for of one model in one role.
+// Want is the desired state of a model in a role, from the teams' parameters.
 type Want struct {
 	Model    Model
 	Role     string // any role if empty
 	Adapters []string
 	Min      int     // replicas
 	Max      int     // replicas
-	Demand   float64 // slots in use and waiting, of late
-	Bytes    int     // size of its weights
+	Demand   float64 // recent number of slots in use plus requests waiting for one
+	Bytes    int     // size of the model's weights
 }
 
-// key separates wants. Teams may want several versions of a model.
+// key identifies a want. Teams may want several versions of a model.
 type key struct {
 	model Model
 	role  string
@@ -54,7 +56,7 @@
 
 func (w *Want) key() key { return key{w.Model, w.Role} }
 
-// Engine is what an engine announces of itself.
+// Engine is an engine's announcement: its readiness, load and capabilities.
 type Engine struct {
 	Name          string
 	Incarnation   uint64
@@ -62,67 +64,68 @@
 	Leaving       bool
 	Slots         int
 	Running       int
-	ChecksFencing bool // refuses orders with an old fencing number
-	KVExport      bool
-	MaxModels     int // models that fit beside each other; 0 counts as 1
+	ChecksFencing bool // rejects orders with an old fencing number
+	KVExport      bool // supports ExportKV
+	MaxModels     int  // models that fit at the same time; 0 counts as 1
 }
 
-// State is what an engine answers when it is asked what it has.
+// State is an engine's answer to a state query.
 type State struct {
-	Fence    uint64 // highest number that it has seen
+	Fence    uint64 // highest fencing number that it has received
 	Models   []Model
 	Adapters []string
 	Role     string
 }
 
-// Tenure is the right to order, as the holder sees it on its own clock.
+// Lease is the exclusive right to send orders in a place, with times of the holder's
+// own clock.
 type Tenure struct {
 	Fence uint64
 	Since time.Time // when the grant was received
-	Until time.Time // when the lease ends, counted from before it was asked for
+	Until time.Time // end of the lease, counted from before it was requested
 }
 
-// Action is what the shell is to do for one engine.
+// Action is a call that the caller makes to an engine.
 type Action struct {
 	Engine string
-	Read   bool // ask for its State, else send Order
+	Read   bool // query its State instead of sending Order
 	Order  Order
 	Fence  uint64
-	// NotAfter is when the call must have ended. The shell drops an action
-	// that it cannot send before.
+	// NotAfter is the time by which the call must have ended. The caller drops an
+	// action that it cannot send before.
 	NotAfter time.Time
 }
 
-// Config bounds the orderer.
+// Config holds the settings of an Orderer. Zero values take the defaults.
 type Config struct {
-	// LongestOrder is the longest time from sending an order until it has
-	// taken effect or never will, the network's delays included.
+	// MaxOrderDuration is the longest time from sending an order until it has either
+	// taken effect or never will, including network delays.
 	LongestOrder time.Duration
-	// SendMargin is kept free before the end of the lease.
-	SendMargin time.Duration
-	ReadEvery  time.Duration // pace of reading each engine back
-	DownAfter  time.Duration // low demand until the target falls
-	FillTo     float64       // share of slots that the target plans to use
-	// StoreBytesPerSecond is the weight store's limit for this place.
+	// SendMargin is the time before the end of the lease in which no order is sent.
+	SendMargin        time.Duration
+	QueryInterval     time.Duration // interval of state queries to each engine
+	ScaleDownDelay    time.Duration // duration of low demand after which a target is lowered
+	TargetUtilization float64       // share of the slots that a target plans to use
+	// StoreBytesPerSecond is the weight store's rate limit for this place.
 	StoreBytesPerSecond int
 }
 
 // Defaults of Config.
 const (
-	DefaultLongestOrder        = 30 * time.Second
+	DefaultMaxOrderDuration    = 30 * time.Second
 	DefaultSendMargin          = 2 * time.Second
-	DefaultReadEvery           = 5 * time.Second
-	DefaultDownAfter           = 5 * time.Minute
-	DefaultFillTo              = 0.7
+	DefaultQueryInterval       = 5 * time.Second
+	DefaultScaleDownDelay      = 5 * time.Minute
+	DefaultTargetUtilization   = 0.7
 	DefaultStoreBytesPerSecond = 200 << 20
 )
 
 func (c Config) withDefaults() Config {
-	c.LongestOrder = orDefault(c.LongestOrder, DefaultLongestOrder)
+	c.LongestOrder = orDefault(c.LongestOrder, DefaultMaxOrderDuration)
 	c.SendMargin = orDefault(c.SendMargin, DefaultSendMargin)
-	c.ReadEvery = orDefault(c.ReadEvery, DefaultReadEvery)
-	c.DownAfter = orDefault(c.DownAfter, DefaultDownAfter)
-	c.FillTo = orDefault(c.FillTo, DefaultFillTo)
+	c.QueryInterval = orDefault(c.QueryInterval, DefaultQueryInterval)
+	c.ScaleDownDelay = orDefault(c.ScaleDownDelay, DefaultScaleDownDelay)
+	c.TargetUtilization = orDefault(c.TargetUtilization, DefaultTargetUtilization)
 	c.StoreBytesPerSecond = orDefault(c.StoreBytesPerSecond, DefaultStoreBytesPerSecond)
 	return c
 }
