--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -1,6 +1,6 @@
-// Package claim holds the aggregate that lets a non-idempotent online request
-// run at most once: a gate claims the request's key in the replicated state
-// before it sends the request to an upstream.
+// Package claim ensures that a non-idempotent online request runs at most once: a gate
+// claims the request's idempotency key in the replicated state before it sends the
+// request to an upstream.
 //
 // A Table is deterministic and not safe for concurrent use.
 package claim
@@ -18,7 +18,7 @@
 	"slateway.example/slateway/internal/job"
 )
 
-// Reasons of refused claims.
+// Reasons for rejected claims.
 const (
 	ReasonKeyReused      apierr.Reason = "idempotency_key_reused"
 	ReasonUnknownClaim   apierr.Reason = "unknown_claim"
@@ -27,40 +27,41 @@
 	ReasonUnknownSession apierr.Reason = job.ReasonUnknownSession
 )
 
-// Retention is how long an outcome is kept after the claim ended. A key sent
-// again after that runs again, as callers are told.
+// Retention is the time for which an outcome is kept after its claim ended. A key sent
+// again after that runs again; the API documents this to callers.
 const Retention = 24 * time.Hour
 
-// State of a claimed request.
+// State is the state of a claimed request.
 type State string
 
-// States of a claim. Granted is only an answer: the asker shall send the
-// request now.
+// States of a claim. StateGranted occurs in answers only: the claiming gate is to send
+// the request now.
 const (
 	StateGranted State = "granted"
-	StateRunning State = "running" // another attempt runs it
+	StateRunning State = "running" // another attempt is running it
 	StateDone    State = "done"    // the outcome is stored
 	StateUnknown State = "unknown" // its gate was lost; it may have run
-	stateFree    State = "free"    // not run; the entry remembers whose claims are over
+	stateFree    State = "free"    // not run; the entry only keeps the IDs of freed claims
 )
 
-// freedRetention is how long a late copy of a claim is known after the claim
-// was freed; calls are given up within seconds.
+// freedRetention is the time for which the ID of a freed claim is kept, to reject delayed
+// copies of the claim. Gates abandon calls within seconds.
 const freedRetention = 10 * time.Minute
 
-// maxFreed bounds the claims of one key that are remembered as freed.
+// maxFreed limits the number of freed claim IDs kept for one key.
 const maxFreed = 16
 
-// Request asks for the right to run a request.
+// Request is a claim of the right to run a request.
 type Request struct {
 	Team        string        `cbor:"1,keyasint"`
 	Key         string        `cbor:"2,keyasint"` // the caller's idempotency key
 	Fingerprint uint64        `cbor:"3,keyasint"` // hash of the request
-	ID          string        `cbor:"4,keyasint"` // of this attempt by the gate
+	ID          string        `cbor:"4,keyasint"` // ID of this attempt of the gate
 	Session     job.SessionID `cbor:"5,keyasint"`
 }
 
-// Finish ends a claim. NotRun frees the key: the request was provably not sent.
+// Finish ends a claim. NotRun frees the key; it requires that the request was certainly
+// not sent.
 type Finish struct {
 	Team   string `cbor:"1,keyasint"`
 	Key    string `cbor:"2,keyasint"`
@@ -68,16 +69,16 @@
 	NotRun bool   `cbor:"4,keyasint,omitempty"`
 	// Unknown ends the claim without an outcome: the request may have run.
 	Unknown bool   `cbor:"5,keyasint,omitempty"`
-	Outcome []byte `cbor:"6,keyasint,omitempty"` // encoded answer to the caller
+	Outcome []byte `cbor:"6,keyasint,omitempty"` // encoded response to the caller
 }
 
-// Answer tells what became of a claimed request.
+// Answer is the state of a claimed request and, if it is done, its outcome.
 type Answer struct {
 	State   State   `cbor:"1,keyasint"`
-	Outcome job.Ref `cbor:"2,keyasint"` // of a done claim
+	Outcome job.Ref `cbor:"2,keyasint"` // set if State is StateDone
 }
 
-// Storage keeps the outcomes.
+// Storage stores the outcomes of claims.
 type Storage interface {
 	AppendOutcome(data []byte) job.Ref
 }
@@ -91,7 +92,7 @@
 	return cmp.Or(cmp.Compare(a.Team, b.Team), cmp.Compare(a.Key, b.Key))
 }
 
-// entry is one claim.
+// entry is the stored state of the claim of a key.
 type entry struct {
 	Key         key            `cbor:"1,keyasint"`
 	Fingerprint uint64         `cbor:"2,keyasint"`
@@ -99,8 +100,8 @@
 	Session     job.SessionID  `cbor:"4,keyasint"`
 	State       State          `cbor:"5,keyasint"`
 	Outcome     job.Ref        `cbor:"6,keyasint"`
-	Expires     instant.Micros `cbor:"7,keyasint,omitempty"` // zero while it runs
-	Freed       []string       `cbor:"8,keyasint,omitempty"` // IDs of claims that are over without a run
+	Expires     instant.Micros `cbor:"7,keyasint,omitempty"` // zero while the request runs
+	Freed       []string       `cbor:"8,keyasint,omitempty"` // IDs of claims that ended without a run
 }
 
 func (e *entry) lessExpiry(other *entry) bool {
@@ -116,12 +117,12 @@
 	claims    map[key]*entry
 	bySession map[job.SessionID]map[key]struct{} // running claims
 	expiry    *btree.BTreeG[*entry]              // ended claims
-	segments  map[uint32]int                     // outcomes in use by segment
+	segments  map[uint32]int                     // number of kept outcomes by segment
 }
 
 const btreeDegree = 16
 
-// NewTable makes an empty table.
+// NewTable creates an empty table.
 func NewTable(storage Storage) *Table {
 	return &Table{
 		storage:   storage,
@@ -132,15 +133,15 @@
 	}
 }
 
-// Claim grants the request to the first who asks. A resend of that same attempt
-// is granted again, since its gate may have lost the answer and has sent
-// nothing; any other asker gets what became of the request.
+// Claim grants the request to the first attempt that claims it. A resend of the same
+// attempt is granted again, since its gate may not have received the answer and has sent
+// nothing yet; any other attempt gets the state of the request.
 //
-// The session must be open: the claim of a gate that the keepers have given up
-// would never end.
+// The session must be open: a claim of a gate whose session the keepers have already
+// ended would never end itself.
 func (t *Table) Claim(request Request, sessionOpen bool) (Answer, *apierr.Error) {
 	if request.Team == "" || request.Key == "" || request.ID == "" {
-		return Answer{}, apierr.New(apierr.Invalid, ReasonInvalidClaim, "give team, key and claim ID", "the claim is incomplete")
+		return Answer{}, apierr.New(apierr.Invalid, ReasonInvalidClaim, "set team, key and claim ID", "the claim is incomplete")
 	}
 	at := key{Team: request.Team, Key: request.Key}
 	existing, found := t.claims[at]
@@ -152,7 +153,7 @@
 		freed = existing.Freed
 	}
 	if slices.Contains(freed, request.ID) {
-		return Answer{}, apierr.New(apierr.Conflict, ReasonClaimFreed, "claim it under a new ID", "the claim of key %q was given up", request.Key)
+		return Answer{}, apierr.New(apierr.Conflict, ReasonClaimFreed, "claim the key again with a new claim ID", "this claim of key %q has already ended without a run", request.Key)
 	}
 	if !sessionOpen {
 		return Answer{}, apierr.New(apierr.NotFound, ReasonUnknownSession, "open a new session", "session %q is not open", string(request.Session))
@@ -192,7 +193,7 @@
 	held[claimed.Key] = struct{}{}
 }
 
-func (t *Table) release(claimed *entry) {
+func (t *Table) endRunning(claimed *entry) {
 	held := t.bySession[claimed.Session]
 	delete(held, claimed.Key)
 	if len(held) == 0 {
@@ -200,8 +201,9 @@
 	}
 }
 
-// Finish ends a claim; it may be resent. An outcome that comes after the claim
-// was given up as unknown is still stored: more is known, and nothing runs again.
+// Finish ends a claim; a resend has no further effect. An outcome that arrives after the
+// claim ended as unknown is still stored, since it adds information and causes no second
+// run.
 func (t *Table) Finish(finish Finish, now instant.Micros) *apierr.Error {
 	if finish.NotRun {
 		t.free(key{Team: finish.Team, Key: finish.Key}, finish.ID, now)
@@ -209,25 +211,25 @@
 	}
 	claimed, found := t.claims[key{Team: finish.Team, Key: finish.Key}]
 	if !found || claimed.ID != finish.ID || claimed.State == stateFree {
-		return apierr.New(apierr.NotFound, ReasonUnknownClaim, "claim the key first", "there is no claim of key %q with this ID", finish.Key)
+		return apierr.New(apierr.NotFound, ReasonUnknownClaim, "claim the key first", "key %q has no claim with this ID", finish.Key)
 	}
 	switch {
 	case claimed.State == StateDone:
 		return nil
 	case finish.Unknown:
-		t.giveUp(claimed, now)
+		t.endAsUnknown(claimed, now)
 	default:
-		t.done(claimed, finish.Outcome, now)
+		t.storeOutcome(claimed, finish.Outcome, now)
 	}
 	return nil
 }
 
-// free ends a claim whose request was not sent, so that a resend can run. A
-// claim that was given up meanwhile stays unknown.
+// free ends a claim whose request was not sent, so that another attempt can run it. A
+// claim that has ended as unknown in the meantime stays unknown.
 //
-// A claim that was given up by its gate can still reach the log after this. It
-// would be granted to nobody, and the key would be "running" for as long as the
-// gate lives; so its ID is remembered and refused.
+// A delayed copy of the claim may reach the log after this. If it were granted, no gate
+// would use it, and the key would stay running for as long as the gate's session. So the
+// claim's ID is kept in the entry, and copies are rejected.
 func (t *Table) free(at key, id string, now instant.Micros) {
 	existing, found := t.claims[at]
 	switch {
@@ -236,7 +238,7 @@
 	case existing.State == stateFree:
 		t.expiry.Delete(existing)
 	case existing.State == StateRunning && existing.ID == id:
-		t.release(existing)
+		t.endRunning(existing)
 	default:
 		return
 	}
@@ -249,11 +251,11 @@
 	t.insert(existing)
 }
 
-func (t *Table) done(claimed *entry, outcome []byte, now instant.Micros) {
+func (t *Table) storeOutcome(claimed *entry, outcome []byte, now instant.Micros) {
 	if claimed.State == StateUnknown {
 		t.expiry.Delete(claimed)
 	} else {
-		t.release(claimed)
+		t.endRunning(claimed)
 	}
 	claimed.State = StateDone
 	claimed.Outcome = t.storage.AppendOutcome(outcome)
@@ -261,18 +263,18 @@
 	t.insert(claimed)
 }
 
-func (t *Table) giveUp(claimed *entry, now instant.Micros) {
+func (t *Table) endAsUnknown(claimed *entry, now instant.Micros) {
 	if claimed.State != StateRunning {
 		return
 	}
-	t.release(claimed)
+	t.endRunning(claimed)
 	claimed.State = StateUnknown
 	claimed.Expires = now.Add(Retention)
 	t.insert(claimed)
 }
 
-// EndSession gives up the claims of a gate that is lost: their requests may
-// have run, so none of them may run again.
+// EndSession ends the running claims of a lost gate as unknown: their requests may have
+// run, so none of them may run again.
 func (t *Table) EndSession(session job.SessionID, now instant.Micros) {
 	keys := make([]key, 0, len(t.bySession[session]))
 	for at := range t.bySession[session] {
@@ -280,11 +282,11 @@
 	}
 	slices.SortFunc(keys, compareKeys)
 	for _, at := range keys {
-		t.giveUp(t.claims[at], now)
+		t.endAsUnknown(t.claims[at], now)
 	}
 }
 
-// Expire deletes the claims whose retention is over and returns how many.
+// Expire deletes the claims whose retention has ended and returns their number.
 func (t *Table) Expire(now instant.Micros) int {
 	deleted := 0
 	for {
@@ -295,32 +297,32 @@
 		t.expiry.DeleteMin()
 		delete(t.claims, first.Key)
 		if first.State == StateDone {
-			t.dropOutcome(first.Outcome.Segment)
+			t.releaseOutcome(first.Outcome.Segment)
 		}
 		deleted++
 	}
 }
 
-func (t *Table) dropOutcome(segment uint32) {
+func (t *Table) releaseOutcome(segment uint32) {
 	t.segments[segment]--
 	if t.segments[segment] == 0 {
 		delete(t.segments, segment)
 	}
 }
 
-// Expired reports whether Expire would delete a claim.
+// Expired reports whether Expire would delete any claim.
 func (t *Table) Expired(now instant.Micros) bool {
 	first, found := t.expiry.Min()
 	return found && first.Expires <= now
 }
 
-// Len is the number of claims, ended ones included.
+// Len returns the number of claims, including ended ones.
 func (t *Table) Len() int { return len(t.claims) }
 
 // SegmentInUse reports whether a segment holds kept outcomes.
 func (t *Table) SegmentInUse(segment uint32) bool { return t.segments[segment] > 0 }
 
-// Snapshot encodes the table; the outcomes in its storage are not part of it.
+// Snapshot encodes the table without the outcomes, which are in its storage.
 func (t *Table) Snapshot() ([]byte, error) {
 	entries := make([]entry, 0, len(t.claims))
 	for _, claimed := range t.claims {
@@ -330,7 +332,7 @@
 	return codec.Marshal(entries)
 }
 
-// RestoreTable decodes a table that Snapshot encoded.
+// RestoreTable decodes a table encoded by Snapshot.
 func RestoreTable(data []byte, storage Storage) (*Table, error) {
 	var entries []entry
 	if err := codec.Unmarshal(data, &entries); err != nil {
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -12,8 +12,8 @@
 	"slateway.example/slateway/internal/job"
 )
 
-// The seed is fixed, so that a run gives the same verdict each time; a longer
-// search takes -rapid.seed=0 -rapid.checks=20000.
+// The seed is fixed so that each run gives the same result. For a longer search, use
+// -rapid.seed=0 -rapid.checks=20000.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 type memory struct{ outcomes [][]byte }
@@ -23,20 +23,21 @@
 	return job.Ref{Segment: 1, Length: uint32(len(data)), Offset: uint64(len(m.outcomes) - 1)}
 }
 
-// machine drives a Table with the requests of gates that may be lost.
+// machine makes requests to a Table for gates that may be lost.
 type machine struct {
 	table   *claim.Table
 	storage *memory
 	now     instant.Micros
 	granted []claim.Request
 	sent    map[string]string // attempt that sent the request, by key
-	done    map[string]string // outcome told, by key
-	freed   []claim.Request   // given up without a run
+	done    map[string]string // outcome returned, by key
+	freed   []claim.Request   // ended without a run
 	next    int
 }
 
-// ask claims a key and, when granted, sends the request at once or frees it.
-func (m *machine) ask(t *rapid.T) {
+// claimKey claims a key and, if the claim is granted, either sends the request or frees
+// the key.
+func (m *machine) claimKey(t *rapid.T) {
 	key := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key")
 	m.next++
 	request := claim.Request{
@@ -48,13 +49,13 @@
 		t.Fatal(refusal)
 	}
 	if answer.State == claim.StateDone {
-		m.told(t, key, string(m.storage.outcomes[answer.Outcome.Offset]))
+		m.checkOutcome(t, key, string(m.storage.outcomes[answer.Outcome.Offset]))
 	}
 	if answer.State != claim.StateGranted {
 		return
 	}
 	if again, _ := m.table.Claim(request, true); again.State != claim.StateGranted {
-		t.Fatalf("the resend of a granted claim is %s", again.State)
+		t.Fatalf("the resend of a granted claim has the state %s, want granted", again.State)
 	}
 	if rapid.IntRange(0, 3).Draw(t, "not run") == 0 {
 		m.finish(t, claim.Finish{Team: "registry", Key: key, ID: request.ID, NotRun: true})
@@ -62,25 +63,25 @@
 		return
 	}
 	if first, ran := m.sent[key]; ran {
-		t.Fatalf("key %s runs twice, by attempts %s and %s", key, first, request.ID)
+		t.Fatalf("key %s runs twice, in attempts %s and %s", key, first, request.ID)
 	}
 	m.sent[key] = request.ID
 	m.granted = append(m.granted, request)
 }
 
-// lateCopy lets a claim arrive that its gate has given up.
-func (m *machine) lateCopy(t *rapid.T) {
+// delayedCopy delivers a copy of a claim that its gate has already freed.
+func (m *machine) delayedCopy(t *rapid.T) {
 	if len(m.freed) == 0 {
-		t.Skip("none given up")
+		t.Skip("no claim was freed")
 	}
 	request := m.freed[max(0, len(m.freed)-rapid.IntRange(1, 5).Draw(t, "copy"))]
 	if answer, refusal := m.table.Claim(request, true); refusal == nil && answer.State == claim.StateGranted {
-		t.Fatalf("claim %s of key %s was granted after it was given up", request.ID, request.Key)
+		t.Fatalf("claim %s of key %s was granted after it was freed", request.ID, request.Key)
 	}
 }
 
-func (m *machine) told(t *rapid.T, key, outcome string) {
-	if first, told := m.done[key]; told && first != outcome {
+func (m *machine) checkOutcome(t *rapid.T, key, outcome string) {
+	if first, known := m.done[key]; known && first != outcome {
 		t.Fatalf("key %s was answered %q after %q", key, outcome, first)
 	}
 	m.done[key] = outcome
@@ -96,7 +97,7 @@
 
 func (m *machine) answerArrives(t *rapid.T) {
 	if len(m.granted) == 0 {
-		t.Skip("nothing runs")
+		t.Skip("no request runs")
 	}
 	request := rapid.SampledFrom(m.granted).Draw(t, "request")
 	finish := claim.Finish{Team: request.Team, Key: request.Key, ID: request.ID, Outcome: []byte("by " + request.ID)}
@@ -118,20 +119,19 @@
 	}
 }
 
-// A plate confirmation is sent again and again through several gates, some of
-// which are lost with the request under way: it runs at most once, and all who
-// get its outcome get the same.
+// A request is sent repeatedly through several gates, some of which are lost while it
+// runs. It must run at most once, and all callers that get an outcome must get the same.
 //
-// Red without its guards: giveUp deleting the claim, "runs twice"; Claim not
-// asking for freed IDs, "was granted after it was given up".
+// The test fails with "runs twice" if endAsUnknown deletes the claim, and with "was
+// granted after it was freed" if Claim does not check for freed IDs.
 func TestRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		storage := &memory{}
 		m := &machine{table: claim.NewTable(storage), storage: storage, now: 1, sent: make(map[string]string), done: make(map[string]string)}
 		t.Repeat(map[string]func(*rapid.T){
 			"":       func(*rapid.T) { m.now++ },
-			"ask":    m.ask,
-			"answer": m.answerArrives, "lose": m.loseGate, "late": m.lateCopy, "restart": m.restart,
+			"ask":    m.claimKey,
+			"answer": m.answerArrives, "lose": m.loseGate, "late": m.delayedCopy, "restart": m.restart,
 		})
 	})
 }
@@ -144,13 +144,13 @@
 	}
 	table.Finish(claim.Finish{Team: "t", Key: "done", ID: "done", Outcome: []byte("x")}, 1)
 	if table.Expire(1) != 0 {
-		t.Fatal("a claim expired at once")
+		t.Fatal("a claim expired immediately")
 	}
-	late := instant.Micros(2).Add(claim.Retention)
-	if table.Expire(late) != 1 || table.SegmentInUse(1) {
-		t.Fatal("the ended claim was kept")
+	afterRetention := instant.Micros(2).Add(claim.Retention)
+	if table.Expire(afterRetention) != 1 || table.SegmentInUse(1) {
+		t.Fatal("the ended claim was kept beyond its retention")
 	}
 	if answer, _ := table.Claim(claim.Request{Team: "t", Key: "running", ID: "other", Session: "s"}, true); answer.State != claim.StateRunning {
-		t.Fatalf("the running claim is %s", answer.State)
+		t.Fatalf("the running claim has the state %s, want running", answer.State)
 	}
 }
--- a/internal/tenure/tenure.go
+++ b/internal/tenure/tenure.go
@@ -1,8 +1,8 @@
-// Package tenure holds the aggregate that grants rights which one holder has at
-// a time, each grant under a fencing number greater than all before it.
+// Package tenure grants exclusive rights: each right has one holder at a time, and each
+// grant of it has a greater fencing number than all grants before it.
 //
-// A Table is deterministic and not safe for concurrent use. It knows no time:
-// whoever keeps it ends the grants of holders that have gone silent.
+// A Table is deterministic and not safe for concurrent use. It reads no clock: its owner
+// ends the grants of holders that have stopped responding.
 package tenure
 
 import (
@@ -12,20 +12,20 @@
 	"slateway.example/slateway/internal/codec"
 )
 
-// Grant is who holds a right, under which fencing number.
+// Grant is a right with its holder and fencing number.
 type Grant struct {
 	Name   string `cbor:"1,keyasint"`
-	Holder string `cbor:"2,keyasint"` // empty when nobody holds it
-	Fence  uint64 `cbor:"3,keyasint"` // of the last grant; 0 before the first
+	Holder string `cbor:"2,keyasint"` // empty if the right is free
+	Fence  uint64 `cbor:"3,keyasint"` // number of the last grant; 0 before the first
 }
 
-// Table holds the grants, in the order of their names.
+// Table holds the grants, sorted by name.
 type Table struct {
 	grants []Grant
 }
 
-// Acquire grants a free right to holder and gives the grant as it is now. A
-// resend by the holder gets the same number.
+// Acquire grants the right to holder if it is free, and returns the current grant. A
+// repeated call of the holder returns the same fencing number.
 func (t *Table) Acquire(name, holder string) Grant {
 	i, found := t.find(name)
 	if !found {
@@ -39,15 +39,16 @@
 	return *grant
 }
 
-// End frees a right if its last grant has this number; a late End of an earlier
-// grant changes nothing.
+// End frees a right if its last grant has this fencing number. A delayed End of an
+// earlier grant has no effect.
 func (t *Table) End(name string, fence uint64) {
 	if i, found := t.find(name); found && t.grants[i].Fence == fence {
 		t.grants[i].Holder = ""
 	}
 }
 
-// Get gives a grant; one that was never made has number 0.
+// Get returns the current grant of a right; its fencing number is 0 if the right was
+// never granted.
 func (t *Table) Get(name string) Grant {
 	if i, found := t.find(name); found {
 		return t.grants[i]
@@ -55,7 +56,7 @@
 	return Grant{Name: name}
 }
 
-// Held lists the grants that somebody holds.
+// Held returns the grants that have a holder.
 func (t *Table) Held() []Grant {
 	var held []Grant
 	for _, grant := range t.grants {
@@ -73,7 +74,7 @@
 // Snapshot encodes the table.
 func (t *Table) Snapshot() []byte { return codec.MustMarshal(t.grants) }
 
-// Restore decodes a table that Snapshot encoded.
+// Restore decodes a table encoded by Snapshot; empty data is an empty table.
 func Restore(data []byte) (*Table, error) {
 	t := &Table{}
 	if len(data) == 0 {
--- a/internal/tenure/tenure_test.go
+++ b/internal/tenure/tenure_test.go
@@ -8,9 +8,9 @@
 	"slateway.example/slateway/internal/tenure"
 )
 
-// Two orderers of a place order an engine at the same time, and the engine that
-// checks fencing numbers obeys the older one. The number of an ended grant was
-// given out again, or a late end of an old grant ended the new one.
+// A fencing number that is reused after its grant ended, or a delayed End of an old grant
+// that ends a new one, would let two orderers of a place send orders to an engine at the
+// same time, although the engine checks fencing numbers.
 func TestFencingNumbersGrowAndOneHoldsAtATime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := &tenure.Table{}
@@ -18,12 +18,12 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				asker := rapid.SampledFrom([]string{"vm-1", "vm-2", "vm-3"}).Draw(t, "asker")
+				caller := rapid.SampledFrom([]string{"vm-1", "vm-2", "vm-3"}).Draw(t, "asker")
 				if holder == "" {
-					holder, fence = asker, fence+1
+					holder, fence = caller, fence+1
 				}
-				if got := table.Acquire("glas-a", asker); got.Holder != holder || got.Fence != fence {
-					t.Fatalf("granted %+v, want %s under %d", got, holder, fence)
+				if got := table.Acquire("glas-a", caller); got.Holder != holder || got.Fence != fence {
+					t.Fatalf("Acquire returned %+v, want holder %s with fencing number %d", got, holder, fence)
 				}
 			case 1:
 				ended := rapid.Uint64Range(0, fence).Draw(t, "ended")
@@ -41,7 +41,7 @@
 				table.Acquire("edin-b", "vm-9")
 			}
 			if got := table.Get("glas-a"); got.Holder != holder || got.Fence != fence {
-				t.Fatalf("%+v, want %s under %d", got, holder, fence)
+				t.Fatalf("the current grant is %+v, want holder %s with fencing number %d", got, holder, fence)
 			}
 		}
 	})
