--- a/internal/blob/blob.go
+++ b/internal/blob/blob.go
@@ -1,7 +1,7 @@
-// Package blob stores records in append-only segment files: the bodies, results
-// and outcomes that replicated state refers to. Each record carries its length
-// and a checksum. Files are written in the order of the replicated log, so that
-// they are equal on all replicas and a prefix of each never changes.
+// Package blob stores records in append-only segment files: the bodies, results and
+// outcomes to which replicated state refers. Each record has a length and a checksum.
+// Records are appended in the order of the replicated log, so the files are identical on
+// all replicas, and written bytes never change.
 package blob
 
 import (
@@ -16,35 +16,36 @@
 	"sync"
 )
 
-// DefaultSegmentBytes is the size at which a log goes on in a new segment.
+// DefaultSegmentBytes is the size at which a log starts a new segment.
 const DefaultSegmentBytes = 64 << 20
 
 const (
 	headerBytes = 8       // length and checksum, 4 bytes each, big endian
-	bufferBytes = 1 << 18 // written at once
+	bufferBytes = 1 << 18 // buffered bytes at which the buffer is written to the file
 	suffix      = ".blob"
 )
 
-// ErrCorrupt reports a record whose checksum or length is wrong.
+// ErrCorrupt is returned for a record with a wrong checksum or length and for a segment
+// file that is too short.
 var ErrCorrupt = errors.New("blob: record is corrupt; replace this disk")
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Ref locates a record.
+// Ref is the location of a record.
 type Ref struct {
 	Segment uint32 // numbered from 1
 	Length  uint32 // of the record's data in bytes
 	Offset  uint64
 }
 
-// File is a segment file and the length to which it is written.
+// File is the name of a segment file with the length of its content.
 type File struct {
 	Name   string // relative to the log's folder
 	Length int64
 }
 
-// Log is a sequence of segments. Append, Sync and Delete are called by one
-// owner; Read may run at the same time.
+// Log is a sequence of segments. Append, Sync and Delete must be called from one goroutine
+// at a time; Read may run concurrently.
 type Log struct {
 	folder       string
 	prefix       string
@@ -52,32 +53,33 @@
 
 	mu       sync.RWMutex
 	segments map[uint32]*segment
-	active   uint32 // number of the segment that grows
-	buffer   []byte // end of the active segment, not yet written to its file
+	active   uint32 // number of the segment that receives appends
+	buffer   []byte // end of the active segment that is not yet written to its file
 	created  bool   // a file was created since the last Sync
 }
 
 type segment struct {
 	file   *os.File
-	length int64 // with what is still in the buffer
+	length int64 // including bytes that are still in the buffer
 	dirty  bool
 }
 
-// Open makes an empty log named prefix in folder; Restore fills it.
+// Open returns an empty log whose files in folder start with prefix. Restore loads
+// existing files.
 func Open(folder, prefix string, segmentBytes int64) *Log {
 	return &Log{folder: folder, prefix: prefix, segmentBytes: segmentBytes, segments: make(map[uint32]*segment)}
 }
 
-// Restore makes the listed files, those of other logs left out, the content of
-// the log. Longer files are cut, files that are not listed are removed: both
-// hold records that the replicated log will bring again.
+// Restore makes the listed files the content of the log; files of other logs in the list
+// are ignored. It truncates longer files and removes files of this log that are not
+// listed: both hold records that the replicated log will append again.
 func (l *Log) Restore(files []File) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closeAll()
 	listed := make(map[string]bool)
 	for _, file := range files {
-		number, ok := l.number(file.Name)
+		number, ok := l.segmentNumber(file.Name)
 		if !ok {
 			continue
 		}
@@ -96,7 +98,7 @@
 	}
 	info, err := file.Stat()
 	if err == nil && info.Size() < listed.Length {
-		err = fmt.Errorf("%s has %d bytes of %d: %w", listed.Name, info.Size(), listed.Length, ErrCorrupt)
+		err = fmt.Errorf("%s has %d bytes, expected at least %d: %w", listed.Name, info.Size(), listed.Length, ErrCorrupt)
 	}
 	if err == nil {
 		err = file.Truncate(listed.Length)
@@ -115,7 +117,7 @@
 		return fmt.Errorf("restore blob log: %w", err)
 	}
 	for _, entry := range entries {
-		if _, ours := l.number(entry.Name()); !ours || listed[entry.Name()] {
+		if _, ours := l.segmentNumber(entry.Name()); !ours || listed[entry.Name()] {
 			continue
 		}
 		if err := os.Remove(filepath.Join(l.folder, entry.Name())); err != nil {
@@ -127,7 +129,7 @@
 
 func (l *Log) name(number uint32) string { return fmt.Sprintf("%s-%08d%s", l.prefix, number, suffix) }
 
-func (l *Log) number(name string) (uint32, bool) {
+func (l *Log) segmentNumber(name string) (uint32, bool) {
 	inner, ours := strings.CutPrefix(name, l.prefix+"-")
 	digits, whole := strings.CutSuffix(inner, suffix)
 	var number uint32
@@ -140,11 +142,11 @@
 	return number, name == l.name(number)
 }
 
-// Append adds a record. It lasts once Sync returns.
+// Append adds a record. The record is durable once Sync has returned.
 func (l *Log) Append(data []byte) (Ref, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	current, err := l.growing()
+	current, err := l.activeSegment()
 	if err != nil {
 		return Ref{}, err
 	}
@@ -160,8 +162,9 @@
 	return ref, nil
 }
 
-// growing gives the segment for the next record, a new one if the last is full.
-func (l *Log) growing() (*segment, error) {
+// activeSegment returns the segment for the next record. It creates a new one if the last
+// is full.
+func (l *Log) activeSegment() (*segment, error) {
 	if current := l.segments[l.active]; current != nil && current.length < l.segmentBytes {
 		return current, nil
 	}
@@ -192,7 +195,7 @@
 	return nil
 }
 
-// Read gives the data of a record.
+// Read returns the data of a record.
 func (l *Log) Read(ref Ref) ([]byte, error) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -206,13 +209,13 @@
 	}
 	data := record[headerBytes:]
 	if binary.BigEndian.Uint32(record) != ref.Length || binary.BigEndian.Uint32(record[4:]) != crc32.Checksum(data, crcTable) {
-		return nil, fmt.Errorf("segment %d of %s at %d: %w", ref.Segment, l.prefix, ref.Offset, ErrCorrupt)
+		return nil, fmt.Errorf("read blob: segment %d of %s at offset %d: %w", ref.Segment, l.prefix, ref.Offset, ErrCorrupt)
 	}
 	return data, nil
 }
 
-// readAt reads a record from the buffer or the file. A record is written to the
-// buffer and to the file as a whole, so it lies in one of them.
+// readAt reads a record from the buffer or the file. Each record is completely in one of
+// them, because it is added to the buffer, and flushed to the file, as a whole.
 func (l *Log) readAt(from *segment, ref Ref, record []byte) error {
 	if ref.Segment == l.active {
 		written := uint64(from.length) - uint64(len(l.buffer))
@@ -225,8 +228,8 @@
 	return err
 }
 
-// Sync makes all records last and lists the files with their lengths, those of
-// the unused segments left out.
+// Sync makes all records durable and returns the files with their lengths. Unused segments
+// are neither synced nor returned.
 func (l *Log) Sync(unused []uint32) ([]File, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -257,7 +260,7 @@
 	return files, nil
 }
 
-// syncFolder makes new file names last; syncing a file does not do that.
+// syncFolder makes new file names durable, which syncing the files does not.
 func syncFolder(path string) error {
 	folder, err := os.Open(path)
 	if err != nil {
@@ -266,7 +269,8 @@
 	return errors.Join(folder.Sync(), folder.Close())
 }
 
-// Segments lists the numbers of the segments that no longer grow.
+// FullSegments returns the numbers of the segments that receive no more appends, in
+// ascending order.
 func (l *Log) Segments() []uint32 {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -280,7 +284,7 @@
 	return full
 }
 
-// Delete removes segments that no longer grow.
+// Delete removes segments. It ignores the active one and those that do not exist.
 func (l *Log) Delete(numbers []uint32) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/blob/blob_test.go
+++ b/internal/blob/blob_test.go
@@ -13,20 +13,20 @@
 	"slateway.example/slateway/internal/blob"
 )
 
-// The seed is fixed, so that a run gives the same verdict each time; a longer
-// search takes -rapid.seed=0 -rapid.checks=20000.
+// The seed is fixed so that each run gives the same result. For a longer search, use
+// -rapid.seed=0 -rapid.checks=20000.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 const segmentBytes = 1000
 
-// record is what a test appended.
+// record is an appended record with its location.
 type record struct {
 	ref  blob.Ref
 	data []byte
 }
 
-// A keeper is lost at any moment: after the restart its log holds what the last
-// snapshot named, and takes the same records at the same places again.
+// A keeper process ends at any time. After the restart its log must hold the content that
+// the last snapshot lists, and append the same records at the same locations again.
 func TestRestoreToTheLastSync(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		folder, err := os.MkdirTemp(t.TempDir(), "log")
@@ -58,20 +58,19 @@
 		}
 		for _, again := range lost {
 			if ref, err := log.Append(again.data); err != nil || ref != again.ref {
-				rt.Fatalf("record went to %v, before the restart to %v: %v", ref, again.ref, err)
+				rt.Fatalf("record was appended at %v, before the restart at %v; error %v", ref, again.ref, err)
 			}
 		}
 		for _, want := range append(kept, lost...) {
 			if data, err := log.Read(want.ref); err != nil || !bytes.Equal(data, want.data) {
-				rt.Fatalf("read %v: %v", want.ref, err)
+				rt.Fatalf("reading the record at %v: wrong data or error %v", want.ref, err)
 			}
 		}
 		_ = log.Close()
 	})
 }
 
-// A disk gives back wrong bytes: the reader must learn it, in place of handing
-// a damaged result to a caller.
+// A disk returns wrong bytes. Read must return an error instead of the damaged data.
 func TestCorruptRecordIsReported(t *testing.T) {
 	folder := t.TempDir()
 	log := blob.Open(folder, "result", segmentBytes)
@@ -93,10 +92,10 @@
 		t.Fatal(err)
 	}
 	if _, err := log.Read(ref); !errors.Is(err, blob.ErrCorrupt) {
-		t.Fatalf("read: %v", err)
+		t.Fatalf("read of a damaged record: got error %v, want ErrCorrupt", err)
 	}
 	if err := log.Restore([]blob.File{{Name: files[0].Name, Length: files[0].Length + 1}}); !errors.Is(err, blob.ErrCorrupt) {
-		t.Fatalf("restore of a file that is too short: %v", err)
+		t.Fatalf("restore of a file that is too short: got error %v, want ErrCorrupt", err)
 	}
 }
 
@@ -108,9 +107,9 @@
 		t.Fatal(err)
 	}
 	if _, err := log.Read(first); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("deleted record: %v", err)
+		t.Errorf("read of a deleted record: got error %v, want os.ErrNotExist", err)
 	}
 	if _, err := log.Read(last); err != nil {
-		t.Errorf("kept record: %v", err)
+		t.Errorf("read of a record in the active segment: %v", err)
 	}
 }
--- a/internal/wal/frame.go
+++ b/internal/wal/frame.go
@@ -8,33 +8,35 @@
 	"slateway.example/slateway/internal/codec"
 )
 
-// A frame is what one sync makes durable: magic, payload length, sequence
-// number, CRC-32C over the previous two and the payload, then the payload.
-// Sequence numbers are consecutive over all segments.
+// A frame is the unit of writing: each sync makes one frame durable. It consists of a
+// magic number, the payload length, the sequence number, a CRC-32C over the length, the
+// sequence number and the payload, and the payload. Sequence numbers are consecutive
+// across segments.
 const (
 	frameMagic      = 0x736c7731
 	frameHeaderSize = 20
-	// maxPayload bounds the payload, so that a damaged length cannot make the
-	// reader believe in a frame larger than any that was written.
+	// maxPayload limits the payload size, so that a damaged length field is detected
+	// if it exceeds the size of any frame that is written.
 	maxPayload = 1 << 28
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Kind says what a record means to its owner.
+// Kind is the type of a record. The group that owns the record defines its meaning.
 type Kind uint8
 
-// Record is one unit that a group appends.
+// Record is an item that a group appends to the log.
 type Record struct {
 	_     struct{} `cbor:",toarray"`
 	Group uint32
 	Kind  Kind
-	// Index is the position in the group's log up to which this record is
-	// needed; Release of that position lets it go. Zero is never needed long.
+	// Index is the position of the record in the group's own log. The record is no
+	// longer needed once the group releases that position; a record with Index zero
+	// does not keep its segment from being removed.
 	Index uint64
-	// Latest marks a record of which only the newest of its group and kind
-	// counts. It is written again at the head of each segment, so it survives
-	// the removal of older ones.
+	// Latest marks a record that replaces earlier ones of its group and kind. The
+	// newest one is repeated at the start of each segment, so that it survives the
+	// removal of older segments.
 	Latest bool
 	Data   []byte
 }
@@ -56,14 +58,15 @@
 	return crc32.Update(crc32.Checksum(header, castagnoli), castagnoli, payload)
 }
 
-// frame is a decoded frame and its size on disk.
+// frame is a decoded frame with its size on disk.
 type frame struct {
 	sequence uint64
 	payload  []byte
 	size     int
 }
 
-// decodeFrame reads the frame at the head of data; false if none is whole.
+// decodeFrame decodes the frame at the start of data. It returns false if there is no
+// complete and undamaged frame.
 func decodeFrame(data []byte) (frame, bool) {
 	if len(data) < frameHeaderSize || binary.LittleEndian.Uint32(data) != frameMagic {
 		return frame{}, false
@@ -79,8 +82,8 @@
 	return frame{sequence: binary.LittleEndian.Uint64(data[8:]), payload: payload, size: frameHeaderSize + length}, true
 }
 
-// findFrame says whether a whole frame of at least this sequence number starts
-// anywhere after the head of data.
+// findFrame reports whether a complete frame with at least this sequence number starts
+// anywhere after the first byte of data.
 func findFrame(data []byte, sequence uint64) bool {
 	magic := binary.LittleEndian.AppendUint32(nil, frameMagic)
 	for at := 1; at < len(data); at++ {
--- a/internal/wal/recover.go
+++ b/internal/wal/recover.go
@@ -12,8 +12,8 @@
 	"slateway.example/slateway/internal/codec"
 )
 
-// CorruptError says that records which were synced cannot be read. Leaving them
-// out would un-acknowledge changes, so the log is not opened.
+// CorruptError reports synced records that cannot be read. Opening the log without them
+// would lose acknowledged changes, so Open fails.
 type CorruptError struct {
 	Path   string
 	Offset int64
@@ -29,16 +29,16 @@
 
 func segmentName(first uint64) string { return fmt.Sprintf("%016x%s", first, segmentSuffix) }
 
-// segment is one file of the log.
+// segment is a file of the log.
 type segment struct {
 	path  string
 	first uint64 // sequence number of its first frame
 	size  int64
-	// last holds, per group, the highest record index in the segment.
+	// last maps each group to its highest record index in the segment.
 	last map[uint32]uint64
 }
 
-func (s *segment) note(records []Record) {
+func (s *segment) recordIndexes(records []Record) {
 	for _, record := range records {
 		if !record.Latest {
 			s.last[record.Group] = max(s.last[record.Group], record.Index)
@@ -46,7 +46,8 @@
 	}
 }
 
-// latestKey names the newest of the records of one kind of a group.
+// latestKey identifies the records that replace each other: those marked Latest with the
+// same group and kind.
 type latestKey struct {
 	group uint32
 	kind  Kind
@@ -55,7 +56,7 @@
 func listSegments(folder string) ([]*segment, error) {
 	names, err := os.ReadDir(folder)
 	if err != nil {
-		return nil, fmt.Errorf("list the log: %w", err)
+		return nil, fmt.Errorf("list the segments of the log: %w", err)
 	}
 	var segments []*segment
 	for _, name := range names {
@@ -65,7 +66,7 @@
 		}
 		first, err := strconv.ParseUint(digits, 16, 64)
 		if err != nil {
-			return nil, fmt.Errorf("segment name %s: %w", name.Name(), err)
+			return nil, fmt.Errorf("segment file name %s is not a hexadecimal number: %w", name.Name(), err)
 		}
 		segments = append(segments, &segment{
 			path: filepath.Join(folder, name.Name()), first: first, last: map[uint32]uint64{},
@@ -75,9 +76,9 @@
 	return segments, nil
 }
 
-// recovery reads segments in order.
+// recovery reads the segments in order and replays their records.
 type recovery struct {
-	next   uint64 // sequence number expected
+	next   uint64 // expected sequence number
 	latest map[latestKey]Record
 	replay func(Record) error
 }
@@ -85,17 +86,17 @@
 func (r *recovery) readAll(segments []*segment) error {
 	for i, s := range segments {
 		if i > 0 && s.first != r.next {
-			return &CorruptError{Path: s.path, Detail: fmt.Sprintf("frames %d to %d are missing before it", r.next, s.first-1)}
+			return &CorruptError{Path: s.path, Detail: fmt.Sprintf("frames %d to %d before this segment are missing", r.next, s.first-1)}
 		}
 		r.next = s.first
-		if err := r.read(s, i == len(segments)-1); err != nil {
+		if err := r.readSegment(s, i == len(segments)-1); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *recovery) read(s *segment, newest bool) error {
+func (r *recovery) readSegment(s *segment, newest bool) error {
 	data, err := os.ReadFile(s.path)
 	if err != nil {
 		return fmt.Errorf("read the log: %w", err)
@@ -104,19 +105,19 @@
 		rest := data[s.size:]
 		found, ok := decodeFrame(rest)
 		if !ok {
-			return r.cutTail(s, rest, newest)
+			return r.truncateTail(s, rest, newest)
 		}
 		if found.sequence != r.next {
-			return &CorruptError{Path: s.path, Offset: s.size, Detail: fmt.Sprintf("frame %d stands where %d belongs", found.sequence, r.next)}
+			return &CorruptError{Path: s.path, Offset: s.size, Detail: fmt.Sprintf("found frame %d where frame %d was expected", found.sequence, r.next)}
 		}
-		if err := r.take(s, found); err != nil {
+		if err := r.replayFrame(s, found); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *recovery) take(s *segment, found frame) error {
+func (r *recovery) replayFrame(s *segment, found frame) error {
 	var records []Record
 	if err := codec.Unmarshal(found.payload, &records); err != nil {
 		return &CorruptError{Path: s.path, Offset: s.size, Detail: err.Error()}
@@ -129,25 +130,25 @@
 			return err
 		}
 	}
-	s.note(records)
+	s.recordIndexes(records)
 	s.size += int64(found.size)
 	r.next++
 	return nil
 }
 
-// cutTail decides about bytes that are no whole frame. A frame is written only
-// after the one before it is synced, so a crash can tear only the very last
-// one, which nobody was told of: it is cut off. If a whole frame follows, the
-// damage lies in synced records, and cutting would lose acknowledged changes.
-func (r *recovery) cutTail(s *segment, rest []byte, newest bool) error {
+// truncateTail handles bytes that are not a complete frame. A frame is written only after
+// the one before it is synced, so a crash can tear only the last frame, whose records
+// were not acknowledged: it is truncated. If a complete frame follows, the damage is in
+// synced records, and truncating would lose acknowledged changes.
+func (r *recovery) truncateTail(s *segment, rest []byte, newest bool) error {
 	if !newest {
 		return &CorruptError{Path: s.path, Offset: s.size, Detail: "a frame is unreadable and later segments exist"}
 	}
 	if findFrame(rest, r.next) {
-		return &CorruptError{Path: s.path, Offset: s.size, Detail: "a frame is unreadable and whole frames follow it"}
+		return &CorruptError{Path: s.path, Offset: s.size, Detail: "a frame is unreadable and complete frames follow it"}
 	}
 	if err := os.Truncate(s.path, s.size); err != nil {
-		return fmt.Errorf("cut a torn write off the log: %w", err)
+		return fmt.Errorf("truncate a torn write at the end of the log: %w", err)
 	}
 	return syncFile(s.path)
 }
@@ -160,7 +161,8 @@
 	return errors.Join(file.Sync(), file.Close())
 }
 
-// SyncFolder makes the creation, renaming and removal of files in a folder last.
+// SyncFolder syncs a folder, so that the creation, renaming and removal of files in it
+// are durable.
 func SyncFolder(path string) error {
 	folder, err := os.Open(path)
 	if err != nil {
--- a/internal/wal/replace.go
+++ b/internal/wal/replace.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 )
 
-// ReplaceFile replaces the file at path so that a crash leaves either the old or
-// the new one, whole.
+// ReplaceFile replaces the content of the file at path atomically: after a crash the file
+// has either the old or the new content.
 func ReplaceFile(path string, data []byte) error {
 	temporary := path + ".new"
 	file, err := os.OpenFile(temporary, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -1,6 +1,6 @@
-// Package wal is a write-ahead log that several groups share: one sync makes
-// the records of all that wait durable. Segments carry checksums; a torn last
-// write is cut off at start, and damage anywhere else refuses to open.
+// Package wal implements a write-ahead log shared by several groups: one sync makes the
+// records of all waiting appends durable. Frames are protected by checksums. Open
+// truncates a torn last write and fails on any other damage.
 package wal
 
 import (
@@ -11,14 +11,14 @@
 	"sync"
 )
 
-// ErrClosed is the result of appends to a closed log. They were not written.
+// ErrClosed is returned by appends to a closed log. Their records were not written.
 var ErrClosed = errors.New("wal: the log is closed")
 
-// Options of a log; zero values take the defaults.
+// Options are the settings of a log; zero values take the defaults.
 type Options struct {
-	SegmentBytes int64 // size from which on a new segment is begun; 16 MiB
-	// MaxBatch bounds the appends that share a sync; 0 sets no bound. 1 is one
-	// sync for each append, to compare with.
+	SegmentBytes int64 // size at which a new segment is started; default 16 MiB
+	// MaxBatch limits the number of appends that share a sync; 0 is no limit. 1 gives
+	// each append its own sync, for comparison in measurements.
 	MaxBatch int
 	// Create opens a new or existing segment for appending. Tests replace it to
 	// make writes and syncs fail.
@@ -27,11 +27,11 @@
 
 const (
 	defaultSegmentBytes = 16 << 20
-	// maxBatchBytes ends a batch, so that one frame and one sync stay short.
+	// maxBatchBytes limits the size of a batch, to keep each frame and sync short.
 	maxBatchBytes = 8 << 20
 )
 
-// File is a segment that is being written.
+// File is a segment file opened for appending.
 type File interface {
 	Write(data []byte) (int, error)
 	Sync() error
@@ -55,7 +55,7 @@
 	segments []*segment
 	released map[uint32]uint64
 
-	// Of the writing goroutine only.
+	// The following fields are used by the writing goroutine only.
 	file   File
 	next   uint64
 	latest map[latestKey]Record
@@ -67,8 +67,8 @@
 	result  chan error
 }
 
-// Open reads the log in folder, passing its records in order to replay, and
-// makes it ready for appends. A *CorruptError tells of damage.
+// Open reads the log in folder, passes its records in order to replay, and opens it for
+// appends. It returns a *CorruptError if synced records are damaged.
 func Open(folder string, options Options, replay func(Record) error) (*Log, error) {
 	if options.SegmentBytes == 0 {
 		options.SegmentBytes = defaultSegmentBytes
@@ -77,7 +77,7 @@
 		options.Create = createFile
 	}
 	if err := os.MkdirAll(folder, 0o700); err != nil {
-		return nil, fmt.Errorf("make the log's folder: %w", err)
+		return nil, fmt.Errorf("create the folder of the log: %w", err)
 	}
 	segments, err := listSegments(folder)
 	if err != nil {
@@ -101,21 +101,21 @@
 
 func (l *Log) openNewest() error {
 	if len(l.segments) == 0 {
-		return l.begin()
+		return l.startSegment()
 	}
 	file, err := l.options.Create(l.segments[len(l.segments)-1].path)
 	l.file = file
 	return err
 }
 
-// begin starts a segment at the next frame.
-func (l *Log) begin() error {
+// startSegment creates a segment that starts with the next frame.
+func (l *Log) startSegment() error {
 	s := &segment{
 		path: filepath.Join(l.folder, segmentName(l.next)), first: l.next, last: map[uint32]uint64{},
 	}
 	file, err := l.options.Create(s.path)
 	if err != nil {
-		return fmt.Errorf("begin a segment: %w", err)
+		return fmt.Errorf("create a segment: %w", err)
 	}
 	l.file = file
 	l.mu.Lock()
@@ -124,12 +124,12 @@
 	return SyncFolder(l.folder)
 }
 
-// Append writes records and returns when they are synced. Calls that arrive
-// while a sync is running share the next one.
+// Append writes records and returns when they are synced. Calls that arrive during a sync
+// share the next one.
 func (l *Log) Append(records []Record) error { return <-l.Start(records) }
 
-// Start queues records, in the order of the calls, and returns a channel that
-// gives the outcome once they are synced.
+// StartAppend queues records, in the order of the calls, and returns a channel that
+// receives the result once they are synced.
 func (l *Log) Start(records []Record) <-chan error {
 	call := &appendCall{records: records, result: make(chan error, 1)}
 	l.mu.Lock()
@@ -163,7 +163,7 @@
 	}
 }
 
-// takeBatch waits for appends; nil after Close.
+// takeBatch waits for appends and returns those for the next sync; nil after Close.
 func (l *Log) takeBatch() []*appendCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -194,12 +194,12 @@
 		if err := l.file.Close(); err != nil {
 			return err
 		}
-		if err := l.begin(); err != nil {
+		if err := l.startSegment(); err != nil {
 			return err
 		}
 		current = l.newest()
 	}
-	records := l.collect(batch, current.size == 0)
+	records := l.collectRecords(batch, current.size == 0)
 	data, err := encodeFrame(l.next, records)
 	if err != nil {
 		return err
@@ -213,7 +213,7 @@
 	l.next++
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	current.note(records)
+	current.recordIndexes(records)
 	current.size += int64(len(data))
 	return nil
 }
@@ -224,7 +224,7 @@
 	return l.segments[len(l.segments)-1]
 }
 
-func (l *Log) collect(batch []*appendCall, head bool) []Record {
+func (l *Log) collectRecords(batch []*appendCall, head bool) []Record {
 	var records []Record
 	if head {
 		for _, record := range l.latest {
@@ -242,13 +242,13 @@
 	return records
 }
 
-// fail ends the log for good. After a failed sync the kernel may have dropped
-// the dirty pages and report the next sync as a success: going on would
-// acknowledge records that are not on the disk.
+// fail makes all current and later appends fail. After a failed sync the kernel may have
+// dropped the dirty pages and may report the next sync as a success, so a further append
+// could acknowledge records that are not on the disk.
 func (l *Log) fail(cause error) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.failed = fmt.Errorf("write to the log in %s failed, it takes no more: %w", l.folder, cause)
+	l.failed = fmt.Errorf("a write to the log in %s failed; it accepts no more appends until the process is restarted: %w", l.folder, cause)
 	for _, call := range l.queue {
 		call.result <- l.failed
 	}
@@ -256,8 +256,8 @@
 	return l.failed
 }
 
-// Release says that group needs no record up to index any more. Whole segments
-// that no group needs are removed, oldest first.
+// Release records that group no longer needs its records up to index, and removes the
+// oldest segments that no group needs.
 func (l *Log) Release(group uint32, index uint64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -285,8 +285,8 @@
 	return true
 }
 
-// Size gives the bytes of all segments, and the group that needs the oldest one
-// while there are several.
+// Size returns the total size of the segments, a group that still needs the oldest one,
+// and whether there are several segments.
 func (l *Log) Size() (bytes int64, oldest uint32, several bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -301,7 +301,7 @@
 	return bytes, oldest, len(l.segments) > 1
 }
 
-// Close syncs what is queued and ends the log.
+// Close writes and syncs the queued appends and closes the log.
 func (l *Log) Close() error {
 	l.mu.Lock()
 	if l.closed {
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -33,7 +33,7 @@
 	return Record{Group: 1, Kind: 1, Index: index, Data: fmt.Appendf(nil, "entry %d", index)}
 }
 
-// write appends the entries 1 to count, each with a sync of its own.
+// write appends the entries 1 to count, each with its own sync.
 func write(t testing.TB, l *Log, count uint64) {
 	t.Helper()
 	for i := uint64(1); i <= count; i++ {
@@ -52,9 +52,9 @@
 	return files[len(files)-1]
 }
 
-// A VM loses power during a write: the file ends in a part of a frame, at any
-// byte. After the restart all synced records are there, none of the torn one,
-// and the log takes further records.
+// After a power loss during a write, the file ends at any byte of a partial frame. Open
+// must return all synced records and none of the torn frame, and the log must accept
+// further records.
 func TestTornTailIsCut(t *testing.T) {
 	folder := t.TempDir()
 	l, _ := mustOpen(t, folder, Options{})
@@ -74,21 +74,20 @@
 		}
 		l, found := mustOpen(t, torn, Options{})
 		if len(found) != 2 {
-			t.Fatalf("cut at %d of %d: %d records", cut, len(whole), len(found))
+			t.Fatalf("truncated at byte %d of %d: found %d records, want 2", cut, len(whole), len(found))
 		}
 		if err := l.Append([]Record{entry(9)}); err != nil {
 			t.Fatal(err)
 		}
 		_ = l.Close()
 		if _, found := mustOpen(t, torn, Options{}); len(found) != 3 || found[2].Index != 9 {
-			t.Fatalf("cut at %d: after another append %v", cut, found)
+			t.Fatalf("truncated at byte %d: found %v after another append", cut, found)
 		}
 	}
 }
 
-// A disk damages a byte of a record that was synced and acknowledged long ago.
-// Cutting the log there would take back every change after it, so the member
-// must refuse to start and say why.
+// A disk damages a byte of a record that was synced and acknowledged. Truncating the log
+// there would lose every change after it, so Open must fail with a CorruptError.
 func TestCorruptMiddleIsRefused(t *testing.T) {
 	folder := t.TempDir()
 	l, _ := mustOpen(t, folder, Options{})
@@ -110,7 +109,7 @@
 		_, _, err := openTest(t, folder, Options{})
 		var corrupt *CorruptError
 		if !errors.As(err, &corrupt) {
-			t.Fatalf("byte %d damaged: error %v", at, err)
+			t.Fatalf("byte %d damaged: got error %v, want a CorruptError", at, err)
 		}
 	}
 }
@@ -153,7 +152,7 @@
 	}
 }
 
-// failingFile syncs until it is told to fail.
+// failingFile is a File whose Sync fails while fail is true.
 type failingFile struct {
 	File
 	fail *bool
@@ -166,9 +165,9 @@
 	return f.File.Sync()
 }
 
-// A sync fails once and the next would succeed, but the kernel has dropped the
-// pages. A record acknowledged after that may not be on the disk: the log must
-// take nothing more.
+// After a failed sync the next one may succeed although the kernel has dropped the dirty
+// pages. Records acknowledged after that may not be on the disk, so the log must reject
+// further appends.
 func TestSyncErrorIsFinal(t *testing.T) {
 	fail := false
 	l, _ := mustOpen(t, t.TempDir(), Options{Create: func(path string) (File, error) {
@@ -178,7 +177,7 @@
 	write(t, l, 1)
 	fail = true
 	if err := l.Append([]Record{entry(2)}); err == nil {
-		t.Fatal("append succeeded without a sync")
+		t.Fatal("append succeeded although its sync failed")
 	}
 	fail = false
 	if err := l.Append([]Record{entry(3)}); err == nil {
@@ -210,12 +209,13 @@
 		}
 	}
 	if len(found) != 400 {
-		t.Errorf("%d records", len(found))
+		t.Errorf("found %d records, want 400", len(found))
 	}
 }
 
-// FuzzRecover feeds any bytes as the newest segment: it opens or refuses, never
-// panics, and what it opened it reads again with the same records.
+// FuzzRecover opens a log whose newest segment has arbitrary content. Open must succeed
+// or return an error, and a log that was opened must have the same number of records when
+// it is opened again.
 func FuzzRecover(f *testing.F) {
 	first, _ := encodeFrame(1, []Record{entry(1)})
 	second, _ := encodeFrame(2, []Record{entry(2), entry(3)})
@@ -236,7 +236,7 @@
 		_ = l.Close()
 		_, again := mustOpen(t, folder, Options{})
 		if len(again) != len(found) {
-			t.Errorf("%d records, then %d", len(found), len(again))
+			t.Errorf("found %d records, then %d when opened again", len(found), len(again))
 		}
 	})
 }
