--- a/internal/quorum/node.go
+++ b/internal/quorum/node.go
@@ -39,7 +39,7 @@
 func (c Config) validate() error {
 	switch {
 	case c.ID == None:
-		return fmt.Errorf("quorum: a member needs an ID")
+		return fmt.Errorf("quorum: the ID of the member must be set")
 	case c.HeartbeatTicks < 1 || c.ElectionTicks < 3*c.HeartbeatTicks:
 		return fmt.Errorf("quorum: %d election ticks are under three heartbeats of %d ticks", c.ElectionTicks, c.HeartbeatTicks)
 	case c.MaxAppendBytes < 1 || c.MaxInflight < 1 || c.Rand == nil:
--- a/internal/quorum/progress.go
+++ b/internal/quorum/progress.go
@@ -40,8 +40,8 @@
 
 func newProgress(next uint64) *progress { return &progress{next: next} }
 
-// probe restarts replication after the last entry that the member is known to hold.
-func (p *progress) probe() {
+// startProbing restarts replication after the last entry that the member is known to hold.
+func (p *progress) startProbing() {
 	p.state = Probing
 	p.next = p.match + 1
 	p.inflight = 0
@@ -56,7 +56,7 @@
 func (p *progress) queryPosition() {
 	sent := p.next - 1
 	if p.state != Probing {
-		p.probe()
+		p.startProbing()
 	}
 	if !p.querying {
 		p.querying = true
--- a/internal/quorum/replication.go
+++ b/internal/quorum/replication.go
@@ -112,7 +112,7 @@
 			return
 		}
 		p.match = max(p.match, m.Index)
-		p.probe()
+		p.startProbing()
 	}
 	p.acknowledge(m.Index, m.Round)
 	n.advanceCommit()
@@ -130,7 +130,7 @@
 	if stale || p.state == Snapshotting {
 		return
 	}
-	p.probe()
+	p.startProbing()
 	p.next = n.lastSharedTerm(min(m.Hint, m.Index-1), m.HintTerm) + 1
 	p.next = max(p.next, p.match+1)
 	n.sendAppend(m.From)
@@ -235,7 +235,7 @@
 	if n.role != Leader || p == nil || p.state != Snapshotting {
 		return
 	}
-	p.probe()
+	p.startProbing()
 	p.next = max(p.next, index+1)
 	n.sendAppend(to)
 }
