--- a/internal/gate/credit/credit.go
+++ b/internal/gate/credit/credit.go
@@ -1,10 +1,10 @@
-// Package credit holds all gates together to what a team may send: it takes a credit
-// for each request from the gate that owns the team, and grants credits of the teams
-// that this gate owns.
+// Package credit enforces the request caps of teams across gates: it takes a credit for
+// each request from the gate that owns the team, and grants the credit of the teams that
+// this gate owns.
 //
-// Gates ask by datagram. An ask that is lost is sent again after a few milliseconds,
-// where a connection would wait for hundreds, and hundreds of gates need no
-// connections to each other for it.
+// Gates communicate by UDP datagrams. A lost ask is retransmitted after a few
+// milliseconds, where TCP would take hundreds, and hundreds of gates need no connections
+// to each other.
 package credit
 
 import (
@@ -27,52 +27,52 @@
 	"slateway.example/slateway/internal/telemetry"
 )
 
-// Reasons of requests that got no credit.
+// Reasons for refusing a request.
 const (
 	ReasonOverCap apierr.Reason = "team_over_cap"
-	// ReasonUndecided: the gate that owns the team did not answer.
+	// ReasonUndecided: the gates that hold the team's credit did not decide in time.
 	ReasonUndecided apierr.Reason = "team_cap_undecided"
 )
 
-// Fleet tells of the gates that live.
+// Fleet provides the gates of the site.
 type Fleet interface {
 	Gates() []roster.Gate
-	GatesBefore() []roster.Gate // that lived before a stop of all and are not back
-	ExpectedGates() int         // 0: not known
+	MissingGates() []roster.Gate // gates from before all gates were down that have not returned
+	ExpectedGates() int          // 0: unknown
 	OnGates(fn func())
 }
 
-// Options are what a Service needs. All must be set.
+// Options configures a Service. All fields are required.
 type Options struct {
 	VM        string
-	Listen    string // address for datagrams
+	Listen    string // UDP address
 	Fleet     Fleet
 	Tolerance limit.Tolerance
 	Metrics   *telemetry.Metrics
 	Log       *zap.Logger
 }
 
-// Service is one gate's part. Run must run beside it.
+// Service takes and grants credit at one gate. Run must run as long as it is used.
 type Service struct {
 	options Options
-	process string // this VM and the start of its process
+	process string // this VM and the start time of its process
 	socket  *net.UDPConn
 	shards  [shardCount]shard
 	seed    maphash.Seed
 	numbers atomic.Uint64
-	// settles gets a value when the time has changed at which a gate settles.
-	settles  chan struct{}
-	forgotAt time.Time // of the goroutine of Run
+	// viewChanged receives a value when holders, and so its NextChange, has changed.
+	viewChanged chan struct{}
+	expiredAt   time.Time // last run of expireIdle; used by Run only
 
-	mu      sync.Mutex // guards what follows
-	holders *limit.Holders
-	peers   map[string]netip.AddrPort // by VM
-	silent  map[string]time.Time      // until when a gate is passed over that did not answer
-	caution *limit.Caution
-	waiting map[uint64]chan limit.Answer
+	mu           sync.Mutex // guards the fields below
+	holders      *limit.Holders
+	peers        map[string]netip.AddrPort // by VM
+	unresponsive map[string]time.Time      // gates that did not answer are skipped until then
+	admission    *limit.AdmissionChecks
+	pending      map[uint64]chan limit.Answer
 }
 
-// shardCount spreads the teams that a gate owns over that many locks.
+// shardCount is the number of locks over which the teams are spread.
 const shardCount = 8
 
 // shard holds the credit of some teams.
@@ -81,7 +81,7 @@
 	ledger *limit.Ledger
 }
 
-// New opens the socket.
+// New creates a Service and opens its socket.
 func New(options Options) (*Service, error) {
 	socket, err := listen(options.Listen)
 	if err != nil {
@@ -90,17 +90,17 @@
 	now := time.Now()
 	s := &Service{
 		options: options, socket: socket, seed: maphash.MakeSeed(),
-		process: options.VM + "/" + strconv.FormatInt(now.UnixNano(), 36),
-		holders: limit.NewHolders(nil, 0, now),
-		settles: make(chan struct{}, 1),
-		peers:   make(map[string]netip.AddrPort), silent: make(map[string]time.Time), caution: limit.NewCaution(now),
-		waiting: make(map[uint64]chan limit.Answer),
+		process:     options.VM + "/" + strconv.FormatInt(now.UnixNano(), 36),
+		holders:     limit.NewHolders(nil, 0, now),
+		viewChanged: make(chan struct{}, 1),
+		peers:       make(map[string]netip.AddrPort), unresponsive: make(map[string]time.Time), admission: limit.NewAdmissionChecks(now),
+		pending: make(map[uint64]chan limit.Answer),
 	}
 	for i := range s.shards {
 		random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 		s.shards[i].ledger = limit.NewLedger(options.Tolerance, random)
 	}
-	options.Fleet.OnGates(s.takeGates)
+	options.Fleet.OnGates(s.updateGates)
 	return s, nil
 }
 
@@ -120,54 +120,54 @@
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case <-s.settles:
+		case <-s.viewChanged:
 		case <-timer.C:
 		}
-		timer.Reset(s.turn(time.Now()))
+		timer.Reset(s.runDueTasks(time.Now()))
 	}
-	_ = s.socket.Close() // ends receive; nothing is buffered
+	_ = s.socket.Close() // ends receive; the socket buffers nothing to flush
 	<-received
 }
 
-// forgetInterval is how often what is idle is dropped.
-const forgetInterval = time.Minute
+// expiryInterval is how often idle entries are deleted.
+const expiryInterval = time.Minute
 
-// turn does what is due with time alone and gives the time until the next turn.
-func (s *Service) turn(now time.Time) time.Duration {
-	if at := s.settledAt(); !at.IsZero() && !now.Before(at) {
-		s.takeGates()
+// runDueTasks does the work that is due by time and returns the delay until the next run.
+func (s *Service) runDueTasks(now time.Time) time.Duration {
+	if at := s.nextViewChange(); !at.IsZero() && !now.Before(at) {
+		s.updateGates()
 	}
-	if now.Sub(s.forgotAt) >= forgetInterval {
-		s.forgotAt = now
-		s.forget(now)
+	if now.Sub(s.expiredAt) >= expiryInterval {
+		s.expiredAt = now
+		s.expireIdle(now)
 	}
-	if at := s.settledAt(); !at.IsZero() {
-		return min(forgetInterval, max(0, at.Sub(now)))
+	if at := s.nextViewChange(); !at.IsZero() {
+		return min(expiryInterval, max(0, at.Sub(now)))
 	}
-	return forgetInterval
+	return expiryInterval
 }
 
-func (s *Service) settledAt() time.Time {
+func (s *Service) nextViewChange() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.holders.SettledAt
+	return s.holders.NextChange
 }
 
-func (s *Service) forget(now time.Time) {
+func (s *Service) expireIdle(now time.Time) {
 	s.mu.Lock()
-	maps.DeleteFunc(s.silent, func(_ string, until time.Time) bool { return now.After(until) })
-	s.caution.Forget(now)
+	maps.DeleteFunc(s.unresponsive, func(_ string, until time.Time) bool { return now.After(until) })
+	s.admission.Expire(now)
 	s.mu.Unlock()
 	for i := range s.shards {
 		sh := &s.shards[i]
 		sh.mu.Lock()
-		sh.ledger.Forget(now)
+		sh.ledger.ExpireIdle(now)
 		sh.mu.Unlock()
 	}
 }
 
-// takeGates takes in which gates live.
-func (s *Service) takeGates() {
+// updateGates applies the current list of gates.
+func (s *Service) updateGates() {
 	var gates []limit.Gate
 	peers := make(map[string]netip.AddrPort)
 	add := func(g *roster.Gate, started int64) {
@@ -179,7 +179,7 @@
 	for _, g := range s.options.Fleet.Gates() {
 		add(&g, g.Started)
 	}
-	for _, g := range s.options.Fleet.GatesBefore() {
+	for _, g := range s.options.Fleet.MissingGates() {
 		add(&g, 0)
 	}
 	now := time.Now()
@@ -188,7 +188,7 @@
 	s.holders, s.peers = holders, peers
 	s.mu.Unlock()
 	select {
-	case s.settles <- struct{}{}:
+	case s.viewChanged <- struct{}{}:
 	default:
 	}
 	for i := range s.shards {
@@ -202,29 +202,29 @@
 func (s *Service) owns(team string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.holders.Of(team).Owner == s.options.VM
+	return s.holders.Choose(team).Owner == s.options.VM
 }
 
-// grant takes a credit from this gate's own ledger.
+// grant takes a credit from this gate's own ledger and sends the resulting notifications.
 func (s *Service) grant(ask limit.Ask) limit.Answer {
-	answer := s.takeOwn(ask)
-	if answer.TellAll {
-		go s.tellLow(ask.Team)
+	answer := s.takeLocal(ask)
+	if answer.NotifyAll {
+		go s.notifyLow(ask.Team)
 	}
-	if answer.TellOwner {
-		s.tellOwner(ask.Team)
+	if answer.NotifyOwner {
+		s.notifyOwner(ask.Team)
 	}
 	return answer
 }
 
-func (s *Service) takeOwn(ask limit.Ask) limit.Answer {
+func (s *Service) takeLocal(ask limit.Ask) limit.Answer {
 	s.mu.Lock()
-	stance := s.holders.Stance(ask.Team, s.options.VM)
+	role := s.holders.Role(ask.Team, s.options.VM)
 	s.mu.Unlock()
 	sh := s.shardOf(ask.Team)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	return sh.ledger.Take(time.Now(), ask, stance)
+	return sh.ledger.Take(time.Now(), ask, role)
 }
 
 func (s *Service) yield(team string) {
@@ -234,7 +234,7 @@
 	sh.ledger.Yield(time.Now(), team)
 }
 
-func (s *Service) giveBack(team string) {
+func (s *Service) refund(team string) {
 	sh := s.shardOf(team)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
--- a/internal/gate/credit/credit_test.go
+++ b/internal/gate/credit/credit_test.go
@@ -18,11 +18,11 @@
 	"slateway.example/slateway/internal/telemetry"
 )
 
-// fleet is the gates as each of them knows them.
+// fleet is the shared list of gates.
 type fleet struct {
-	mu    sync.Mutex
-	gates []roster.Gate
-	calls []func()
+	mu        sync.Mutex
+	gates     []roster.Gate
+	callbacks []func()
 }
 
 func (f *fleet) Gates() []roster.Gate {
@@ -33,20 +33,20 @@
 
 func (f *fleet) ExpectedGates() int { return 0 }
 
-func (f *fleet) GatesBefore() []roster.Gate { return nil }
+func (f *fleet) MissingGates() []roster.Gate { return nil }
 
-func (f *fleet) OnGates(fn func()) { f.calls = append(f.calls, fn) }
+func (f *fleet) OnGates(fn func()) { f.callbacks = append(f.callbacks, fn) }
 
 func (f *fleet) set(gates []roster.Gate) {
 	f.mu.Lock()
 	f.gates = gates
 	f.mu.Unlock()
-	for _, fn := range f.calls {
+	for _, fn := range f.callbacks {
 		fn()
 	}
 }
 
-// gates is some gates on loopback.
+// gates is a set of gates on the loopback interface.
 type gates struct {
 	fleet    *fleet
 	services []*credit.Service
@@ -99,8 +99,9 @@
 	return g.services[gate].Take(ctx, &credit.Request{ID: "r", Team: team, Cap: c, Version: 1})
 }
 
-// flood lets a team send through all gates at once and counts what may run.
-func (g *gates) flood(ctx context.Context, team string, c limit.Cap, each int) (ran int64) {
+// sendThroughAll sends requests of a team through all gates at once and returns how many
+// were admitted.
+func (g *gates) sendThroughAll(ctx context.Context, team string, c limit.Cap, each int) (ran int64) {
 	var count atomic.Int64
 	var sending sync.WaitGroup
 	for gate := range g.services {
@@ -117,34 +118,34 @@
 	return count.Load()
 }
 
-// ownerOf gives the gate that owns a team.
+// ownerOf returns the owner and the standby of a team.
 func (g *gates) ownerOf(team string) (owner, standby int) {
 	var known []limit.Gate
 	for _, gate := range g.fleet.Gates() {
 		known = append(known, limit.Gate{VM: gate.VM, Started: gate.Started})
 	}
-	choice := limit.NewHolders(known, 0, time.Now()).Of(team)
+	choice := limit.NewHolders(known, 0, time.Now()).Choose(team)
 	_, _ = fmt.Sscanf(choice.Owner, "gate-%d", &owner)
 	_, _ = fmt.Sscanf(choice.Standby, "gate-%d", &standby)
 	return owner, standby
 }
 
-// newGateTime is longer than a gate that has just started asks first.
-const newGateTime = 5500 * time.Millisecond
+// startupCheckTime exceeds the time in which a gate that has just started asks before start.
+const startupCheckTime = 5500 * time.Millisecond
 
-// Guards against a cap that grows with the number of gates.
+// The cap of a team must not grow with the number of gates.
 func TestGatesTogetherKeepToTheCap(t *testing.T) {
 	g := start(t, 8, 20)
 	c := limit.Cap{Rate: 20, Burst: 20}
 	began := time.Now()
-	ran := g.flood(t.Context(), "council", c, 200)
+	ran := g.sendThroughAll(t.Context(), "council", c, 200)
 	most := 1.1*(c.Rate*max(5, time.Since(began).Seconds())+float64(c.Burst)) + 20
 	if float64(ran) > most || ran < 8 {
-		t.Errorf("%d of 1,600 ran, at most %.0f may", ran, most)
+		t.Errorf("%d of 1,600 requests were admitted, want 8 to %.0f", ran, most)
 	}
 }
 
-// Guards against refusals of a team that sends less than it may.
+// A team that sends less than its cap must not be refused.
 func TestNothingBelowTheCapIsRefused(t *testing.T) {
 	g := start(t, 8, 20)
 	c := limit.Cap{Rate: 50, Burst: 50}
@@ -156,24 +157,25 @@
 	}
 }
 
-// Guards against requests that wait for other gates though their team has plenty.
+// While a team has plenty of credit, its requests must not wait for other gates.
 func TestRequestsOfATeamWithPlentyDoNotWait(t *testing.T) {
 	t.Parallel()
 	g := start(t, 3, 20)
 	owner, _ := g.ownerOf("council")
 	c := limit.Cap{Rate: 5, Burst: 5}
 	g.stop[owner]()
-	time.Sleep(newGateTime)
+	time.Sleep(startupCheckTime)
 	began := time.Now()
 	if refusal := g.take(t.Context(), (owner+1)%3, "council", c); refusal != nil {
 		t.Fatal(refusal)
 	}
 	if took := time.Since(began); took > 5*time.Millisecond {
-		t.Errorf("waited %s", took)
+		t.Errorf("the request waited %s, want at most 5 ms", took)
 	}
 }
 
-// Guards against a team that is refused, or waits for each request, because the gate that owns it is frozen.
+// While the owner is frozen, the standby must grant credit, and only the first requests may
+// wait for the owner's timeout.
 func TestTheStandbyGrantsWhileTheOwnerIsSilent(t *testing.T) {
 	g := start(t, 3, 40)
 	owner, standby := g.ownerOf("council")
@@ -191,12 +193,12 @@
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	if slow > 3 { // once in each time for which a silent gate is passed over
-		t.Errorf("%d of 6 requests waited for the owner", slow)
+	if slow > 3 { // once in each unresponsiveDuration
+		t.Errorf("%d of 6 requests waited for the owner, want at most 3", slow)
 	}
 }
 
-// Guards against a caller who is told nothing useful when no gate can decide.
+// When no gate can decide, the caller must get a refusal with a retry time, and soon.
 func TestWithoutAnAnswerARequestIsRefusedForAMoment(t *testing.T) {
 	g := start(t, 3, 20)
 	owner, standby := g.ownerOf("council")
@@ -210,11 +212,12 @@
 		t.Fatalf("%+v", refusal)
 	}
 	if took := time.Since(began); took > 200*time.Millisecond {
-		t.Errorf("refused after %s", took)
+		t.Errorf("refused after %s, want at most 200 ms", took)
 	}
 }
 
-// Guards against callers who are refused twice after an outage, though there is credit a moment later.
+// After an outage, a caller whose request is overdue must wait for a credit that is soon
+// available instead of being refused a second time.
 func TestALateRequestWaitsForACreditThatIsNear(t *testing.T) {
 	g := start(t, 2, 0)
 	c := limit.Cap{Rate: 10, Burst: 1}
@@ -226,17 +229,17 @@
 	}
 	began := time.Now()
 	if refusal := g.services[0].Take(t.Context(), request(0)); refusal == nil || time.Since(began) > 100*time.Millisecond {
-		t.Errorf("%v after %s, though it may not wait", refusal, time.Since(began))
+		t.Errorf("request without HoldUntil: %v after %s, want a refusal within 100 ms", refusal, time.Since(began))
 	}
 	if refusal := g.services[0].Take(t.Context(), request(3*time.Second)); refusal != nil {
-		t.Errorf("refused after %s: %v", time.Since(began), refusal)
+		t.Errorf("request with HoldUntil refused after %s: %v", time.Since(began), refusal)
 	}
 	if took := time.Since(began); took > 2*time.Second {
-		t.Errorf("waited %s for a credit at 10 a second", took)
+		t.Errorf("waited %s for a credit at 10 per second, want at most 2 s", took)
 	}
 }
 
-// Guards against datagrams of others that end the gate's part.
+// Invalid datagrams must be counted and must not stop the gate's receiver.
 func TestUnreadableDatagramsAreCounted(t *testing.T) {
 	g := start(t, 1, 20)
 	conn, err := net.Dial("udp", g.fleet.Gates()[0].Peers)
@@ -253,5 +256,5 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Error("not counted")
+	t.Error("the invalid datagram was not counted")
 }
--- a/internal/gate/credit/packets.go
+++ b/internal/gate/credit/packets.go
@@ -13,7 +13,7 @@
 	"slateway.example/slateway/internal/limit"
 )
 
-// kind says what a datagram is.
+// kind is the type of a packet.
 type kind int
 
 const (
@@ -21,39 +21,39 @@
 	kindAnswer
 	kindReturn
 	kindLow    // the team's credit runs low
-	kindActing // the sender, its standby, acts for the owner of the team
+	kindActing // the sender is the team's standby and acts for its owner
 )
 
 // packet is a datagram between gates.
 type packet struct {
-	Kind    kind          `cbor:"1,keyasint"`
-	Number  uint64        `cbor:"2,keyasint,omitempty"` // of the ask, at the gate that asks
-	Gate    string        `cbor:"3,keyasint,omitempty"` // process that asks
-	Team    string        `cbor:"4,keyasint,omitempty"`
-	Rate    float64       `cbor:"5,keyasint,omitempty"`
-	Burst   int           `cbor:"6,keyasint,omitempty"`
-	Version uint64        `cbor:"7,keyasint,omitempty"`
-	Verdict limit.Verdict `cbor:"8,keyasint,omitempty"`
-	Wait    time.Duration `cbor:"9,keyasint,omitempty"`
-	Started bool          `cbor:"10,keyasint,omitempty"`
-	Low     bool          `cbor:"11,keyasint,omitempty"`
-	Silent  bool          `cbor:"12,keyasint,omitempty"`
+	Kind          kind          `cbor:"1,keyasint"`
+	Number        uint64        `cbor:"2,keyasint,omitempty"` // number of the ask at the asking gate
+	Gate          string        `cbor:"3,keyasint,omitempty"` // asking process
+	Team          string        `cbor:"4,keyasint,omitempty"`
+	Rate          float64       `cbor:"5,keyasint,omitempty"`
+	Burst         int           `cbor:"6,keyasint,omitempty"`
+	Version       uint64        `cbor:"7,keyasint,omitempty"`
+	Verdict       limit.Verdict `cbor:"8,keyasint,omitempty"`
+	Wait          time.Duration `cbor:"9,keyasint,omitempty"`
+	Started       bool          `cbor:"10,keyasint,omitempty"`
+	Low           bool          `cbor:"11,keyasint,omitempty"`
+	OwnerTimedOut bool          `cbor:"12,keyasint,omitempty"`
 }
 
-// maxPacketBytes bounds a datagram: a team's name and numbers.
+// maxPacketBytes bounds a datagram, which carries a team name and numbers.
 const maxPacketBytes = 2 << 10
 
 func askPacket(ask limit.Ask) *packet {
 	return &packet{
 		Kind: kindAsk, Number: ask.ID.Number, Gate: ask.ID.Gate, Team: ask.Team,
-		Rate: ask.Cap.Rate, Burst: ask.Cap.Burst, Version: ask.Version, Started: ask.Started, Silent: ask.Silent,
+		Rate: ask.Cap.Rate, Burst: ask.Cap.Burst, Version: ask.Version, Started: ask.Started, OwnerTimedOut: ask.OwnerTimedOut,
 	}
 }
 
 func (p *packet) ask() limit.Ask {
 	return limit.Ask{
 		ID: limit.AskID{Gate: p.Gate, Number: p.Number}, Team: p.Team,
-		Cap: limit.Cap{Rate: p.Rate, Burst: p.Burst}, Version: p.Version, Started: p.Started, Silent: p.Silent,
+		Cap: limit.Cap{Rate: p.Rate, Burst: p.Burst}, Version: p.Version, Started: p.Started, OwnerTimedOut: p.OwnerTimedOut,
 	}
 }
 
@@ -74,16 +74,16 @@
 func listen(address string) (*net.UDPConn, error) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return nil, fmt.Errorf("peers address %q: %w", address, err)
+		return nil, fmt.Errorf("listen.peers address %q is not IP:port: %w", address, err)
 	}
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(parsed))
 	if err != nil {
-		return nil, fmt.Errorf("listen for other gates on %s; free the UDP port or change listen.peers: %w", address, err)
+		return nil, fmt.Errorf("listen for datagrams of other gates on %s (free the UDP port or change listen.peers): %w", address, err)
 	}
 	return socket, nil
 }
 
-// send sends a datagram to a gate. One that is lost shows as no answer.
+// send sends a packet to a gate. A lost packet shows as a missing answer.
 func (s *Service) send(gate string, p *packet) {
 	s.mu.Lock()
 	address, known := s.peers[gate]
@@ -100,11 +100,11 @@
 	}
 	if err != nil {
 		s.options.Metrics.Count("team_cap.not_sent")
-		s.options.Log.Debug("datagram not sent", zap.Stringer("address", address), zap.Error(err))
+		s.options.Log.Debug("cannot send datagram to gate", zap.Stringer("address", address), zap.Error(err))
 	}
 }
 
-// receive takes datagrams in until the socket is closed.
+// receive handles datagrams until the socket is closed.
 func (s *Service) receive() {
 	buffer := make([]byte, maxPacketBytes)
 	for {
@@ -113,7 +113,7 @@
 			return
 		}
 		if err != nil {
-			s.options.Log.Debug("datagram not received", zap.Error(err))
+			s.options.Log.Debug("cannot receive datagram", zap.Error(err))
 			continue
 		}
 		var p packet
@@ -121,26 +121,26 @@
 			s.options.Metrics.Count("team_cap.unreadable")
 			continue
 		}
-		s.take(from, &p)
+		s.handle(from, &p)
 	}
 }
 
-func (s *Service) take(from netip.AddrPort, p *packet) {
+func (s *Service) handle(from netip.AddrPort, p *packet) {
 	switch p.Kind {
 	case kindAsk:
 		s.sendTo(from, answerPacket(p.Number, s.grant(p.ask())))
 	case kindAnswer:
 		s.mu.Lock()
-		waiting := s.waiting[p.Number]
+		waiting := s.pending[p.Number]
 		s.mu.Unlock()
 		select {
 		case waiting <- p.answer():
-		default: // nobody waits for it any more
+		default: // the ask has timed out
 		}
 	case kindReturn:
-		s.giveBack(p.Team)
+		s.refund(p.Team)
 	case kindLow:
-		s.noteLow(p.Team)
+		s.markLow(p.Team)
 	case kindActing:
 		s.yield(p.Team)
 	}
--- a/internal/gate/credit/status.go
+++ b/internal/gate/credit/status.go
@@ -12,21 +12,21 @@
 	"slateway.example/slateway/internal/limit"
 )
 
-// PathCaps is where a gate lists the caps of teams, for operators.
+// PathCaps is the path where operators list the caps of teams at a gate.
 const PathCaps = "/v1/caps"
 
-// CapStatus is one team's cap at a gate, as operators read it.
+// CapStatus is the state of one team's cap at a gate.
 type CapStatus struct {
 	Team   string  `json:"team"`
 	Gate   string  `json:"gate"`
-	Owner  bool    `json:"owner"` // the gate owns the team; other gates hold a margin only
+	Owner  bool    `json:"owner"` // the gate owns the team; other gates hold only a margin
 	Rate   float64 `json:"rate_per_second"`
 	Burst  int     `json:"burst"`
-	Credit float64 `json:"credit"` // requests that may run at once; below 0: run beyond the cap
-	Low    bool    `json:"low"`    // gates ask before they start a request of the team
+	Credit float64 `json:"credit"` // requests that may start at once; negative after requests beyond the cap
+	Low    bool    `json:"low"`    // gates ask the owner before they start a request of the team
 }
 
-// Caps lists the teams whose credit this gate holds, by name.
+// Caps lists the teams whose credit this gate holds, sorted by name.
 func (s *Service) Caps() []CapStatus {
 	now := time.Now()
 	var held []limit.Status
@@ -46,10 +46,10 @@
 	return list
 }
 
-// ServeCaps answers operators with Caps.
+// ServeCaps serves Caps as JSON.
 func (s *Service) ServeCaps(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(s.Caps()); err != nil {
-		s.options.Log.Debug("caps not listed", zap.Error(err))
+		s.options.Log.Debug("cannot write the list of caps", zap.Error(err))
 	}
 }
--- a/internal/gate/credit/take.go
+++ b/internal/gate/credit/take.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// repeatAfter is the time without an answer after which an ask is sent again: a
-	// round trip between places, and some more.
-	repeatAfter = 20 * time.Millisecond
-	// answerWait is the time without an answer after which a gate counts as silent.
-	answerWait = 45 * time.Millisecond
-	// silentFor is how long a gate that did not answer is passed over.
-	silentFor = 500 * time.Millisecond
+	// retransmitAfter is the time without an answer after which an ask is sent again: more
+	// than a round trip between places.
+	retransmitAfter = 20 * time.Millisecond
+	// answerTimeout is the time without an answer after which a gate counts as unresponsive.
+	answerTimeout = 45 * time.Millisecond
+	// unresponsiveDuration is how long a gate that did not answer is not asked.
+	unresponsiveDuration = 500 * time.Millisecond
 )
 
 // Request is a request that needs a credit.
@@ -27,29 +27,29 @@
 	ID      string
 	Team    string
 	Cap     limit.Cap
-	Version uint64 // of the routes that have the cap
-	// HoldUntil is how long it may wait for a credit, if its answer has lost most of
-	// its use already; zero: not at all.
+	Version uint64 // version of the routes that contain the cap
+	// HoldUntil is how long a request may wait for a credit. It is set for requests that are
+	// overdue already; zero: do not wait.
 	HoldUntil time.Time
 }
 
-// Take takes a credit for a request; its error says why there is none. While the team
-// has plenty, it returns at once and the credit is charged beside.
+// Take takes a credit for a request; the error says why there is none. While the team has
+// plenty of credit, Take returns at once and charges the owner in the background.
 func (s *Service) Take(ctx context.Context, r *Request) *apierr.Error {
 	if r.Cap.Unlimited() {
 		return nil
 	}
 	began := time.Now()
 	answer, from := s.decide(ctx, r)
-	for answer.Verdict == limit.OverCap && time.Now().Add(answer.Wait).Before(r.HoldUntil) && pause(ctx, answer.Wait) {
+	for answer.Verdict == limit.OverCap && time.Now().Add(answer.Wait).Before(r.HoldUntil) && sleep(ctx, answer.Wait) {
 		s.options.Metrics.Count("team_cap.held")
 		answer, from = s.decide(ctx, r)
 	}
-	return s.outcome(r, answer, from, time.Since(began))
+	return s.reportOutcome(r, answer, from, time.Since(began))
 }
 
-// pause waits; false if ctx ends first.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d and returns false if ctx ends first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -60,57 +60,57 @@
 	}
 }
 
-// decide gives the answer for a request and the gate that gave it.
+// decide returns the answer for a request and the gate that gave it.
 func (s *Service) decide(ctx context.Context, r *Request) (limit.Answer, string) {
 	ask := limit.Ask{
 		ID:   limit.AskID{Gate: s.process, Number: s.numbers.Add(1)},
 		Team: r.Team, Cap: r.Cap, Version: r.Version,
 	}
-	choice, plenty := s.choose(r.Team)
+	choice, plenty := s.chooseHolders(r.Team)
 	switch {
 	case choice.Owner == s.options.VM || choice.Owner == "":
 		return s.grant(ask), s.options.VM
 	case plenty:
 		ask.Started = true
-		go s.charge(ask, choice.Owner)
+		go s.chargeOwner(ask, choice.Owner)
 		return limit.Answer{Verdict: limit.Granted}, s.options.VM
 	default:
-		return s.ask(ctx, ask, choice)
+		return s.askHolders(ctx, ask, choice)
 	}
 }
 
-// choose gives the gates that hold a team's credit, and whether a request of the team
-// may start before they are asked.
-func (s *Service) choose(team string) (choice limit.Choice, plenty bool) {
+// chooseHolders returns the gates that hold a team's credit, and whether a request of the
+// team may start before they are asked.
+func (s *Service) chooseHolders(team string) (choice limit.Choice, plenty bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	choice = s.holders.Of(team)
-	return choice, s.holders.Complete && !s.caution.AskFirst(now, team) && !now.Before(s.silent[choice.Owner])
+	choice = s.holders.Choose(team)
+	return choice, s.holders.Complete && !s.admission.Required(now, team) && !now.Before(s.unresponsive[choice.Owner])
 }
 
-// charge tells the owner of a request that has started.
-func (s *Service) charge(ask limit.Ask, owner string) {
+// chargeOwner reports a request that has started to the owner, or else to the standby.
+func (s *Service) chargeOwner(ask limit.Ask, owner string) {
 	s.options.Metrics.Count("team_cap.charged")
 	if _, answered := s.askGate(context.Background(), ask, owner); answered {
 		return
 	}
-	s.noteSilent(owner, ask.Team)
-	ask.Silent = true
-	if choice, _ := s.choose(ask.Team); choice.Standby == s.options.VM {
+	s.markUnresponsive(owner, ask.Team)
+	ask.OwnerTimedOut = true
+	if choice, _ := s.chooseHolders(ask.Team); choice.Standby == s.options.VM {
 		s.grant(ask)
 	} else {
 		s.send(choice.Standby, askPacket(ask))
 	}
 }
 
-// outcome gives the refusal that an answer means; nil if there is none.
-func (s *Service) outcome(r *Request, answer limit.Answer, from string, took time.Duration) *apierr.Error {
+// reportOutcome records the answer in metrics and log and returns the refusal, or nil.
+func (s *Service) reportOutcome(r *Request, answer limit.Answer, from string, took time.Duration) *apierr.Error {
 	s.options.Metrics.Observe("team_cap.wait", took)
 	if answer.Verdict == limit.Granted {
 		return nil
 	}
-	refusal := refusalOf(r, answer)
+	refusal := newRefusal(r, answer)
 	s.options.Metrics.Refused(refusal.Reason)
 	s.options.Log.Info("request refused", telemetry.RequestID(r.ID), telemetry.Team(r.Team), telemetry.Reason(string(refusal.Reason)),
 		zap.String("answered_by", from), zap.Float64("rate", r.Cap.Rate), zap.Int("burst", r.Cap.Burst), zap.Uint64("routes", r.Version),
@@ -118,56 +118,56 @@
 	return refusal
 }
 
-func refusalOf(r *Request, answer limit.Answer) *apierr.Error {
+func newRefusal(r *Request, answer limit.Answer) *apierr.Error {
 	if answer.Verdict == limit.OverCap {
-		return apierr.New(apierr.Overloaded, ReasonOverCap, "send more slowly, or ask the operators for a higher rate",
-			"team %s is over its %g requests a second and burst of %d", r.Team, r.Cap.Rate, r.Cap.Burst).WithRetryAfter(answer.Wait)
+		return apierr.New(apierr.Overloaded, ReasonOverCap, "send requests more slowly, or ask the operators for a higher rate",
+			"team %s exceeds its cap of %g requests per second with a burst of %d", r.Team, r.Cap.Rate, r.Cap.Burst).WithRetryAfter(answer.Wait)
 	}
-	return apierr.New(apierr.Unavailable, ReasonUndecided, "come back after the time given",
+	return apierr.New(apierr.Unavailable, ReasonUndecided, "retry after the given delay",
 		"the gates that hold the credit of team %s did not answer", r.Team).WithRetryAfter(answer.Wait)
 }
 
-// ask gives the answer for an ask and the gate that gave it.
-func (s *Service) ask(ctx context.Context, ask limit.Ask, choice limit.Choice) (limit.Answer, string) {
-	if !s.isSilent(choice.Owner) {
+// askHolders asks the owner, then the standby, and returns the answer and who gave it.
+func (s *Service) askHolders(ctx context.Context, ask limit.Ask, choice limit.Choice) (limit.Answer, string) {
+	if !s.isUnresponsive(choice.Owner) {
 		answer, answered := s.askGate(ctx, ask, choice.Owner)
 		if answered && answer.Verdict != limit.Undecided {
 			return answer, choice.Owner
 		}
 		if !answered {
-			s.noteSilent(choice.Owner, ask.Team)
+			s.markUnresponsive(choice.Owner, ask.Team)
 		}
 	}
-	ask.Silent = true
+	ask.OwnerTimedOut = true
 	if choice.Standby == s.options.VM {
 		return s.grant(ask), s.options.VM
 	}
 	answer, answered := s.askGate(ctx, ask, choice.Standby)
 	if !answered {
-		answer = limit.Answer{Verdict: limit.Undecided, Wait: answerWait}
+		answer = limit.Answer{Verdict: limit.Undecided, Wait: answerTimeout}
 	}
 	return answer, choice.Standby
 }
 
-// askGate asks a gate, twice if need be; false if it does not answer in time.
+// askGate asks a gate, retransmitting once; it returns false if no answer comes in time.
 func (s *Service) askGate(ctx context.Context, ask limit.Ask, gate string) (limit.Answer, bool) {
 	answers := make(chan limit.Answer, 1)
 	s.mu.Lock()
-	s.waiting[ask.ID.Number] = answers
+	s.pending[ask.ID.Number] = answers
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
-		delete(s.waiting, ask.ID.Number)
+		delete(s.pending, ask.ID.Number)
 		s.mu.Unlock()
 	}()
-	for _, wait := range [...]time.Duration{repeatAfter, answerWait - repeatAfter} {
+	for _, wait := range [...]time.Duration{retransmitAfter, answerTimeout - retransmitAfter} {
 		s.send(gate, askPacket(ask))
 		timer := time.NewTimer(wait)
 		select {
 		case answer := <-answers:
 			timer.Stop()
 			if answer.Low {
-				s.noteLow(ask.Team)
+				s.markLow(ask.Team)
 			}
 			return answer, true
 		case <-timer.C:
@@ -179,63 +179,64 @@
 	return limit.Answer{}, false
 }
 
-// noteLow makes this gate ask first for a team.
-func (s *Service) noteLow(team string) {
+// markLow makes this gate ask before it starts requests of a team.
+func (s *Service) markLow(team string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.caution.Note(time.Now(), team)
+	s.admission.Require(time.Now(), team)
 }
 
-// tellLow tells all gates that a team's credit runs low.
-func (s *Service) tellLow(team string) {
+// notifyLow notifies all gates that a team's credit runs low.
+func (s *Service) notifyLow(team string) {
 	s.mu.Lock()
 	peers := maps.Clone(s.peers)
 	s.mu.Unlock()
 	delete(peers, s.options.VM)
 	s.options.Metrics.Count("team_cap.low")
-	s.options.Log.Info("a team's credit runs low, all gates ask first", telemetry.Team(team), zap.Int("gates", len(peers)))
+	s.options.Log.Info("team credit low, notifying all gates to ask before start", telemetry.Team(team), zap.Int("gates", len(peers)))
 	for _, address := range peers {
 		s.sendTo(address, lowPacket(team))
 	}
 }
 
-func (s *Service) isSilent(gate string) bool {
+func (s *Service) isUnresponsive(gate string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	until, silent := s.silent[gate]
-	return silent && time.Now().Before(until)
+	until, known := s.unresponsive[gate]
+	return known && time.Now().Before(until)
 }
 
-func (s *Service) noteSilent(gate, team string) {
+func (s *Service) markUnresponsive(gate, team string) {
 	s.mu.Lock()
-	until, known := s.silent[gate]
+	until, known := s.unresponsive[gate]
 	now := time.Now()
-	s.silent[gate] = now.Add(silentFor)
+	s.unresponsive[gate] = now.Add(unresponsiveDuration)
 	s.mu.Unlock()
 	s.options.Metrics.Count("team_cap.unanswered")
 	if !known || now.After(until) {
-		s.options.Log.Info("the owner of a team's credit does not answer, its standby is asked", zap.String("gate", gate), telemetry.Team(team))
+		s.options.Log.Info("owner of the team's credit does not answer, asking its standby", zap.String("gate", gate), telemetry.Team(team))
 	}
 }
 
-// Return gives back the credit of a request that has not run.
+// Return returns the credit of a request that has not run.
 func (s *Service) Return(r *Request) {
 	if r.Cap.Unlimited() {
 		return
 	}
-	choice, _ := s.choose(r.Team)
+	choice, _ := s.chooseHolders(r.Team)
 	owner := choice.Owner
 	if owner == s.options.VM || owner == "" {
-		s.giveBack(r.Team)
+		s.refund(r.Team)
 		return
 	}
 	s.send(owner, returnPacket(r.Team))
 }
 
-// tellOwner tells the owner of a team, in case it runs, that its standby acts for it.
-func (s *Service) tellOwner(team string) {
-	choice, _ := s.choose(team)
+// notifyOwner notifies the owner of a team, which may be running after all, that its
+// standby acts for it.
+func (s *Service) notifyOwner(team string) {
+	choice, _ := s.chooseHolders(team)
 	s.options.Metrics.Count("team_cap.acting")
-	s.options.Log.Info("standing in for the owner of a team's credit", telemetry.Team(team), zap.String("owner", choice.Owner))
+	s.options.Log.Info("acting as standby for the owner of the team's credit", telemetry.Team(team), zap.String("owner", choice.Owner))
 	s.send(choice.Owner, actingPacket(team))
 }
--- a/internal/gate/follow/choice.go
+++ b/internal/gate/follow/choice.go
@@ -9,66 +9,66 @@
 	"slateway.example/slateway/internal/rendezvous"
 )
 
-// chooser picks the control VM that a gate follows by rendezvous hashing: the gates
-// spread evenly over the control VMs, and when one fails its gates spread over the
-// others. It is not safe for concurrent use.
+// chooser selects the control VM that a gate follows by rendezvous hashing: gates spread
+// evenly over the control VMs, and the gates of a failed one spread over the others. It is
+// not safe for concurrent use.
 type chooser struct {
 	gate     string
 	failures map[string]failure
 }
 
-// failure says how often in a row a control VM did not answer, and until when it
-// is passed over.
+// failure is the number of consecutive failures of a control VM and the end of the time in
+// which it is skipped.
 type failure struct {
 	count int
 	until time.Time
 }
 
 const (
-	// minPassOver is how long a control VM that failed is passed over at first, it
-	// doubles with each failure up to maxPassOver.
-	minPassOver = 2 * time.Second
-	maxPassOver = 64 * time.Second
+	// minSkipDuration is how long a control VM is skipped after its first failure. The time
+	// doubles with each further failure up to maxSkipDuration.
+	minSkipDuration = 2 * time.Second
+	maxSkipDuration = 64 * time.Second
 )
 
 func newChooser(gate string) chooser {
 	return chooser{gate: gate, failures: make(map[string]failure)}
 }
 
-// failed notes that a control VM did not answer.
-func (c *chooser) failed(now time.Time, control string) {
+// recordFailure records that a control VM did not answer.
+func (c *chooser) recordFailure(now time.Time, control string) {
 	count := c.failures[control].count + 1
-	passOver := maxPassOver
+	skip := maxSkipDuration
 	if shift := count - 1; shift < 8 {
-		passOver = min(maxPassOver, minPassOver<<shift)
+		skip = min(maxSkipDuration, minSkipDuration<<shift)
 	}
-	c.failures[control] = failure{count: count, until: now.Add(passOver)}
+	c.failures[control] = failure{count: count, until: now.Add(skip)}
 }
 
-// answered notes that a control VM answered.
-func (c *chooser) answered(control string) { delete(c.failures, control) }
+// recordAnswer records that a control VM answered.
+func (c *chooser) recordAnswer(control string) { delete(c.failures, control) }
 
-// choose gives the first choice among the control VMs that are not passed over,
-// or the one whose time is over first.
+// choose returns the first choice among the control VMs that are not skipped, or the one
+// whose skip time ends first if all are skipped.
 func (c *chooser) choose(now time.Time, controls []string) string {
-	var able []string
+	var available []string
 	soonest := ""
 	for _, control := range controls {
 		switch until := c.failures[control].until; {
 		case !until.After(now):
-			able = append(able, control)
+			available = append(available, control)
 		case soonest == "" || until.Before(c.failures[soonest].until):
 			soonest = control
 		}
 	}
-	if len(able) == 0 {
+	if len(available) == 0 {
 		return soonest
 	}
-	return rendezvous.Best(c.gate, able)
+	return rendezvous.Best(c.gate, available)
 }
 
-// backoff paces the questions that no control VM has answered. It is the pause
-// before the last one.
+// backoff paces retries while no control VM answers. Its value is the base of the last
+// pause.
 type backoff time.Duration
 
 const (
@@ -76,16 +76,16 @@
 	maxRetryPause = 800 * time.Millisecond
 )
 
-// next gives the pause before the next question: at least what the control VM
-// asked for, and random within a factor of two, so that gates which lost the same
-// control VM do not ask the next one in step.
+// next returns the pause before the next request: the larger of the exponential backoff and
+// the retry time in err, randomized between 50 % and 150 %, so that gates that lost the same
+// control VM do not ask the next one simultaneously.
 func (b *backoff) next(err error) time.Duration {
 	*b = min(max(2**b, backoff(minRetryPause)), backoff(maxRetryPause))
-	asked := time.Duration(0)
+	requested := time.Duration(0)
 	var refusal *apierr.Error
 	if errors.As(err, &refusal) {
-		asked = refusal.RetryAfter
+		requested = refusal.RetryAfter
 	}
-	pause := max(time.Duration(*b), asked)
+	pause := max(time.Duration(*b), requested)
 	return pause/2 + rand.N(pause)
 }
--- a/internal/gate/follow/confirm.go
+++ b/internal/gate/follow/confirm.go
@@ -8,25 +8,24 @@
 	"go.uber.org/zap"
 )
 
-// confirmInterval is the least time between two questions whether the routes are the
-// newest, so that a flood of unknown keys is no flood at the control VMs.
+// confirmInterval is the minimum time between two requests to confirm the routes, so that
+// a flood of unknown keys does not become a flood of requests to the control VMs.
 const confirmInterval = 200 * time.Millisecond
 
-// confirmer shares one question among all who need its answer. A question that is
-// under way may have been answered already at the other end, so that whoever comes
-// meanwhile waits for the next.
+// confirmer shares one request among all callers that need its answer. The control VM may
+// already have answered a request in progress, so later callers wait for the next one.
 type confirmer struct {
 	mu      sync.Mutex
-	next    *confirmation // waits to be asked; nil: nobody waits
+	next    *confirmation // next request; nil: no caller waits
 	running bool
 }
 
 type confirmation struct {
-	answered chan struct{} // closes with err set
+	answered chan struct{} // closed once err is set
 	err      error
 }
 
-// wait returns the answer to a question that is asked after the call.
+// wait returns the answer to a request that is sent after the call.
 func (c *confirmer) wait(ctx context.Context, ask func() error) error {
 	c.mu.Lock()
 	if c.next == nil {
@@ -46,26 +45,26 @@
 	}
 }
 
-// run asks until nobody waits.
+// run sends requests until no caller waits.
 func (c *confirmer) run(ask func() error) {
 	for {
 		c.mu.Lock()
-		asked := c.next
+		current := c.next
 		c.next = nil
-		c.running = asked != nil
+		c.running = current != nil
 		c.mu.Unlock()
-		if asked == nil {
+		if current == nil {
 			return
 		}
 		began := time.Now()
-		asked.err = ask()
-		close(asked.answered)
+		current.err = ask()
+		close(current.answered)
 		time.Sleep(confirmInterval - time.Since(began))
 	}
 }
 
-// Confirm returns nil once the routes are those that were in force when it was
-// called, or newer ones.
+// Confirm returns nil once this gate has the routes that were in force when it was called,
+// or newer ones.
 func (f *Follower) Confirm(ctx context.Context) error { return f.confirms.wait(ctx, f.confirm) }
 
 func (f *Follower) confirm() error {
@@ -75,11 +74,11 @@
 	address := f.target()
 	response, err := f.call(context.Background(), address, request)
 	if err != nil {
-		f.options.Log.Info("routes not confirmed", zap.String("control", address), zap.Error(err))
+		f.options.Log.Info("cannot confirm the routes with the control VM", zap.String("control", address), zap.Error(err))
 		return err
 	}
-	if document := f.document(address, response); document != nil {
-		f.takeRoutes(address, document)
+	if document := f.unpackRoutes(address, response); document != nil {
+		f.installRoutes(address, document)
 	}
 	return nil
 }
--- a/internal/gate/follow/confirm_test.go
+++ b/internal/gate/follow/confirm_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Guards against a flood of unknown keys that becomes a flood of questions.
+// A flood of unknown keys must not become a flood of requests to the control VMs.
 func TestOneQuestionAnswersAllWhoWait(t *testing.T) {
 	var c confirmer
 	var asked atomic.Int32
@@ -23,11 +23,12 @@
 	}
 	waiting.Wait()
 	if got := asked.Load(); got > 3 {
-		t.Errorf("asked %d times", got)
+		t.Errorf("%d requests were sent for 500 callers, want at most 3", got)
 	}
 }
 
-// Guards against an answer that was given before the key was added.
+// A caller must not get the answer to a request that was sent before its call: the control
+// VM may have answered it before the caller's key was added.
 func TestAQuestionUnderWayDoesNotAnswerWhoComesLater(t *testing.T) {
 	var c confirmer
 	begun, release := make(chan struct{}), make(chan struct{})
@@ -48,14 +49,14 @@
 	time.Sleep(10 * time.Millisecond)
 	close(release)
 	if err := <-first; err == nil {
-		t.Error("the first was not told its own answer")
+		t.Error("the first caller did not get the answer to its own request")
 	}
 	if err := <-second; err != nil {
-		t.Errorf("the second was told %v", err)
+		t.Errorf("the second caller got %v, want the answer to a later request", err)
 	}
 }
 
-// Guards against callers who wait for a control VM longer than they can.
+// A caller whose context ends must not wait for the control VM any longer.
 func TestWhoeverLeavesDoesNotWaitForTheAnswer(t *testing.T) {
 	var c confirmer
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
--- a/internal/gate/follow/first.go
+++ b/internal/gate/follow/first.go
@@ -13,18 +13,15 @@
 // firstAnswer is a control VM's answer to a gate that has just started.
 type firstAnswer struct {
 	control  string
-	asked    *controlapi.FollowRequest
+	request  *controlapi.FollowRequest
 	response *controlapi.FollowResponse
 }
 
-// findFirst asks all control VMs that this gate knows at the same time, until one
-// has answered, and follows that one.
-//
-// Failure guarded against: a whole site loses its power, and its VMs are back one
-// after the other. Asked one by one, a control VM that is still down costs a gate
-// the whole time that a call may take, while callers wait at the gate for the
-// routes that another control VM could give it at once.
-func (f *Follower) findFirst(ctx context.Context) {
+// findFirstControl asks all known control VMs in parallel and follows the first to answer.
+// After a power loss of a site its VMs return one by one. Asked in sequence, every control
+// VM that is still down would cost the whole call timeout, while callers wait for routes
+// that another control VM could already provide.
+func (f *Follower) findFirstControl(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	answers := make(chan firstAnswer)
 	asked := make(map[string]bool)
@@ -50,26 +47,27 @@
 			f.mu.Lock()
 			f.current = first.control
 			f.mu.Unlock()
-			f.take(first.control, first.asked, first.response)
+			f.applyResponse(first.control, first.request, first.response)
 			return
 		}
 	}
 }
 
-// maxInvites bounds the control VMs whose calls wait to be answered.
+// maxInvites bounds the invitations that wait to be handled.
 const maxInvites = 16
 
-// Mount adds the calls of control VMs to mux.
+// Mount registers the procedures that control VMs call on mux.
 func (f *Follower) Mount(mux *http.ServeMux) {
-	rpc.Handle(mux, controlapi.Invite, inviteBytes, f.invited)
+	rpc.Handle(mux, controlapi.Invite, maxInviteBytes, f.serveInvite)
 }
 
-// inviteBytes bounds an invitation: an address.
-const inviteBytes = 4 << 10
+// maxInviteBytes bounds an invitation, which carries an address.
+const maxInviteBytes = 4 << 10
 
-// invited notes a control VM that can be asked. Once one has answered, all are known.
-func (f *Follower) invited(_ context.Context, request *controlapi.InviteRequest) (*controlapi.InviteResponse, error) {
-	if f.heard.Load() == 0 {
+// serveInvite records a control VM that can be asked. After the first answer of a control
+// VM all of them are known, so invitations are ignored.
+func (f *Follower) serveInvite(_ context.Context, request *controlapi.InviteRequest) (*controlapi.InviteResponse, error) {
+	if f.lastContact.Load() == 0 {
 		select {
 		case f.invites <- request.Control:
 		default:
@@ -91,7 +89,7 @@
 		response, err := f.call(ctx, control, request)
 		if err == nil {
 			select {
-			case answers <- firstAnswer{control: control, asked: request, response: response}:
+			case answers <- firstAnswer{control: control, request: request, response: response}:
 			case <-ctx.Done():
 			}
 			return
@@ -99,7 +97,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		f.missed(control, err)
+		f.recordNoAnswer(control, err)
 		pause(ctx, retry.next(err))
 	}
 }
--- a/internal/gate/follow/first_test.go
+++ b/internal/gate/follow/first_test.go
@@ -20,13 +20,14 @@
 	"slateway.example/slateway/standin/link"
 )
 
-// noReplicas is a router that is told of no replica.
+// noReplicas is a router that ignores announcements.
 type noReplicas struct{}
 
 func (noReplicas) Announce(upstream.Announcement) error        { return nil }
 func (noReplicas) Withdraw(string, upstream.ReplicaID, uint64) {}
 
-// controlWithRoutes serves the first routes at once and holds later questions.
+// controlWithRoutes starts a control VM that returns the first routes at once and never
+// answers later requests.
 func controlWithRoutes(t *testing.T) (address string) {
 	mux := http.NewServeMux()
 	rpc.Handle(mux, controlapi.Follow, 1<<20, func(ctx context.Context, asked *controlapi.FollowRequest) (*controlapi.FollowResponse, error) {
@@ -41,12 +42,11 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// A site has lost its power and comes back one VM after the other. Callers stand at
-// a gate that is back, and wait for as long as a call to a control VM may take, more
-// than a second, though another control VM is back and has the routes: the gate asks
-// one that is still down, and then the next.
+// After a power loss of a site, a gate that is back must get the routes from the control VM
+// that is back, without waiting for the call timeout of more than a second at each control
+// VM that is still down.
 func TestAGateFindsTheControlVMThatIsBack(t *testing.T) {
-	for range 4 { // by lot, one at a time, it is found first in one of three
+	for range 4 { // asked one at a time in random order, it would be first in 1 of 3 runs
 		var seeds []string
 		for range 2 {
 			dark, err := link.NewDark()
@@ -71,14 +71,15 @@
 		f.Await(first)
 		cancel()
 		if took := time.Since(start); took > 300*time.Millisecond {
-			t.Errorf("the first routes took %s", took)
+			t.Errorf("the first routes took %s, want at most 300 ms", took)
 		}
 		stop()
 		<-done
 	}
 }
 
-// Guards against callers who wait at gates without routes while the only control VMs that are back are not in the settings.
+// Callers must not wait at gates without routes when the only control VMs that are back are
+// missing from the settings: the gate must follow a control VM that invites it.
 func TestAGateFollowsAControlVMThatCallsIt(t *testing.T) {
 	var seeds []string
 	for range 3 {
@@ -112,7 +113,7 @@
 	start := time.Now()
 	f.Await(ctx)
 	if took := time.Since(start); took > 300*time.Millisecond || f.Routes().Version() != 7 {
-		t.Errorf("routes of version %d after %s", f.Routes().Version(), took)
+		t.Errorf("the gate has version %d of the routes after %s, want version 7 within 300 ms", f.Routes().Version(), took)
 	}
 	stop()
 	<-done
--- a/internal/gate/follow/fleet.go
+++ b/internal/gate/follow/fleet.go
@@ -5,35 +5,35 @@
 	"slateway.example/slateway/internal/roster"
 )
 
-// Fleet shows the gates that the control VMs know to the exchange between gates,
-// which else learns of them from the membership protocol. It spreads no digests:
-// replicas announce themselves to the control VMs.
+// Fleet provides the gates that the control VMs list to the exchange between gates, in
+// place of the membership protocol. It spreads no digests, because replicas announce
+// themselves to the control VMs.
 type Fleet struct{ follower *Follower }
 
-// Fleet gives the gates as the exchange between them reads them.
+// Fleet returns the Fleet of this follower.
 func (f *Follower) Fleet() Fleet { return Fleet{follower: f} }
 
-// Members lists the gates, this one included.
+// Members returns all gates including this one.
 func (f Fleet) Members() []member.Member {
 	return roster.Members(f.follower.Gates(), f.follower.options.Gate.VM)
 }
 
-// Areas lists none: all gates are members.
+// Areas returns nil: all gates are members.
 func (f Fleet) Areas() []member.PlaceArea { return nil }
 
-// SetDigest spreads nothing.
+// SetDigest does nothing.
 func (f Fleet) SetDigest(member.DigestKind, []byte) error { return nil }
 
-// SetSum spreads nothing.
+// SetSum does nothing.
 func (f Fleet) SetSum(member.DigestKind, []byte) {}
 
-// OnDigest is never called.
+// OnDigest ignores fn: no digest is ever received.
 func (f Fleet) OnDigest(member.DigestKind, func(string, []byte)) {}
 
-// OnSum is never called.
+// OnSum ignores fn: no sum is ever received.
 func (f Fleet) OnSum(member.DigestKind, func(place, publisher string, data []byte)) {}
 
-// OnState calls fn whenever the gates have changed.
+// OnState registers fn to be called when the list of gates changes.
 func (f Fleet) OnState(fn func(vm string, state member.State)) {
 	f.follower.OnGates(func() { fn("", member.Alive) })
 }
--- a/internal/gate/follow/follower.go
+++ b/internal/gate/follow/follower.go
@@ -1,6 +1,6 @@
-// Package follow keeps a gate in step with the control VMs: it asks one of them
-// for changes of the routes, the replicas and the other gates, and tells it in
-// the same call that this gate lives.
+// Package follow synchronizes a gate with the control VMs. The gate polls one of them for
+// changes of the routes, the replicas and the other gates; the same call reports that this
+// gate is alive.
 package follow
 
 import (
@@ -21,15 +21,15 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// Router takes in what the control VMs know of replicas.
+// Router receives what the control VMs report about replicas.
 type Router interface {
 	Announce(a upstream.Announcement) error
 	Withdraw(service string, id upstream.ReplicaID, incarnation uint64)
 }
 
-// Options are what a Follower needs. All must be set.
+// Options configures a Follower. All fields are required.
 type Options struct {
-	Gate    roster.Gate // this gate; Sequence, Ready and Draining are the Follower's
+	Gate    roster.Gate // this gate; the Follower sets Sequence, Ready and Draining
 	Seeds   []string    // peers addresses of some control VMs
 	Calls   *rpc.Client
 	Router  Router
@@ -38,64 +38,64 @@
 }
 
 const (
-	// callWait is how long a control VM holds the question. It is a third of the
-	// silence after which a gate is no longer named to callers.
-	callWait = 500 * time.Millisecond
-	// callTimeout is the time for an answer beside the wait. A control VM that is
-	// frozen, or a connection that has gone silent for good, shows by it only.
+	// pollWait is how long a control VM holds a long poll. It is a third of the time without
+	// reports after which a gate is no longer listed to callers.
+	pollWait = 500 * time.Millisecond
+	// callTimeout is the time for an answer in addition to pollWait. It is the only sign of
+	// a frozen control VM or a connection that was cut without notice.
 	callTimeout = 600 * time.Millisecond
-	// wholeInterval is how often everything is asked for: what this gate was not
-	// told, while it went from one control VM to another, is made good by it.
-	wholeInterval = 10 * time.Second
-	// unlistedLifetime is how long a replica is kept that no control VM lists. A
-	// control VM that has just started does not know all of them.
-	unlistedLifetime = 4 * wholeInterval
-	// staleAfter is the silence of all control VMs after which what this gate
-	// knows may be out of date.
+	// fullRefreshInterval is how often the whole state is requested. It repairs changes that
+	// were missed while switching between control VMs.
+	fullRefreshInterval = 10 * time.Second
+	// unlistedLifetime is how long a replica is kept that no control VM lists. A control VM
+	// that has just started does not know all replicas.
+	unlistedLifetime = 4 * fullRefreshInterval
+	// staleAfter is the time without any answer of a control VM after which this gate's state
+	// may be outdated.
 	staleAfter = 2 * time.Second
 )
 
-// Follower is one gate's side. Run must run beside it.
+// Follower synchronizes one gate with the control VMs. Run must run as long as it is used.
 type Follower struct {
 	options Options
-	wake    chan struct{} // this gate's report has changed
+	wake    chan struct{} // receives a value when this gate's report has changed
 
-	matcher atomic.Pointer[routes.Matcher]
-	heard   atomic.Int64 // when a control VM last answered, in ns since start
-	start   time.Time
-	first   chan struct{} // closes once routes and replicas are known
-	invites chan string   // peers addresses of control VMs that have called
-	known   sync.Once
+	matcher     atomic.Pointer[routes.Matcher]
+	lastContact atomic.Int64 // last answer of a control VM, in ns since start
+	start       time.Time
+	first       chan struct{} // closed once routes and replicas are known
+	invites     chan string   // peers addresses of control VMs that invited this gate
+	firstOnce   sync.Once
 
-	routesMu sync.Mutex // makes putting newer routes in force one step
+	routesMu sync.Mutex // makes comparing and installing routes atomic
 	confirms confirmer
 
-	mu       sync.Mutex // guards what follows
-	gate     roster.Gate
-	controls []string
-	keepers  []string
-	peers    uint64 // hash of the two lists, as the control VM gave it
-	choice   chooser
-	current  string // control VM that is asked
-	lost     int    // control VMs in a row that did not answer
-	epoch    string
-	since    uint64
-	wholeAt  time.Time
-	listed   map[upstream.ReplicaID]listing
-	gates    []roster.Gate
-	expected int           // gates that there are, as the control VM last said
-	before   []roster.Gate // those of them that are not back after a stop of all
-	onGates  []func()
+	mu                  sync.Mutex // guards the fields below
+	gate                roster.Gate
+	controls            []string
+	keepers             []string
+	peers               uint64 // hash of controls and keepers, as sent by the control VM
+	choice              chooser
+	current             string // control VM being followed
+	consecutiveFailures int    // requests in a row without an answer
+	epoch               string
+	since               uint64
+	fullRefreshAt       time.Time
+	listed              map[upstream.ReplicaID]listing
+	gates               []roster.Gate
+	expected            int           // number of gates of the site, as last reported by a control VM
+	missing             []roster.Gate // expected gates that have not returned since all gates were down
+	onGates             []func()
 }
 
-// listing is when a control VM last listed a replica.
+// listing records when a control VM last listed a replica.
 type listing struct {
 	service     string
 	incarnation uint64
 	at          time.Time
 }
 
-// New makes a follower.
+// New creates a Follower.
 func New(options Options) *Follower {
 	f := &Follower{
 		options: options, gate: options.Gate, controls: slices.Clone(options.Seeds),
@@ -106,10 +106,10 @@
 	return f
 }
 
-// Routes gives the routes that this gate serves by; version 0 before the first.
+// Routes returns the routes in force; they have version 0 until the first are received.
 func (f *Follower) Routes() *routes.Matcher { return f.matcher.Load() }
 
-// Await returns when the first routes and replicas are known, or ctx has ended.
+// Await returns when the first routes and replicas are known or ctx has ended.
 func (f *Follower) Await(ctx context.Context) {
 	select {
 	case <-f.first:
@@ -117,16 +117,16 @@
 	}
 }
 
-// Age gives how long ago a control VM last confirmed what this gate knows.
+// Age returns the time since a control VM last confirmed this gate's state.
 func (f *Follower) Age() time.Duration {
-	return time.Since(f.start) - time.Duration(f.heard.Load())
+	return time.Since(f.start) - time.Duration(f.lastContact.Load())
 }
 
-// Stale says whether what this gate knows may be out of date.
+// Stale reports whether this gate's state may be outdated.
 func (f *Follower) Stale() bool { return f.Age() > staleAfter }
 
-// Keepers gives the peers addresses of the VMs that hold replicated state; the
-// seeds' while none is known.
+// Keepers returns the peers addresses of the VMs that hold replicated state, or of the known
+// control VMs while no keeper is known.
 func (f *Follower) Keepers() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -136,37 +136,37 @@
 	return f.keepers
 }
 
-// Gates gives the gates that live, as the control VMs last said.
+// Gates returns the live gates as last reported by the control VMs.
 func (f *Follower) Gates() []roster.Gate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.gates
 }
 
-// ExpectedGates gives how many gates there are, also those that may not be back
-// after a stop of all; 0 if that is not known.
+// ExpectedGates returns the number of gates including those that have not returned since all
+// gates were down; 0 if it is unknown.
 func (f *Follower) ExpectedGates() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.expected
 }
 
-// GatesBefore gives the gates that lived before a stop of all and are not back, as far
-// as the control VMs know them.
-func (f *Follower) GatesBefore() []roster.Gate {
+// MissingGates returns the gates known to the control VMs that have not returned since all
+// gates were down.
+func (f *Follower) MissingGates() []roster.Gate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.before
+	return f.missing
 }
 
-// OnGates adds fn to what is called when the gates have changed.
+// OnGates registers fn to be called when the list of gates changes.
 func (f *Follower) OnGates(fn func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.onGates = append(f.onGates, fn)
 }
 
-// SetSeeds adds control VMs that the settings name now to those that may be asked.
+// SetSeeds adds control VMs named by changed settings to the known ones.
 func (f *Follower) SetSeeds(seeds []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -179,13 +179,13 @@
 	f.controls = known
 }
 
-// SetReady tells that this gate can serve callers.
-func (f *Follower) SetReady() { f.say(func(g *roster.Gate) { g.Ready = true }) }
+// SetReady reports that this gate can serve callers.
+func (f *Follower) SetReady() { f.updateReport(func(g *roster.Gate) { g.Ready = true }) }
 
-// SetDraining tells that this gate takes no new callers.
-func (f *Follower) SetDraining() { f.say(func(g *roster.Gate) { g.Draining = true }) }
+// SetDraining reports that this gate accepts no new callers.
+func (f *Follower) SetDraining() { f.updateReport(func(g *roster.Gate) { g.Draining = true }) }
 
-func (f *Follower) say(change func(*roster.Gate)) {
+func (f *Follower) updateReport(change func(*roster.Gate)) {
 	f.mu.Lock()
 	change(&f.gate)
 	f.mu.Unlock()
@@ -195,9 +195,9 @@
 	}
 }
 
-// Run follows until ctx ends.
+// Run follows the control VMs until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	f.findFirst(ctx)
+	f.findFirstControl(ctx)
 	var retry backoff
 	for ctx.Err() == nil {
 		address := f.target()
@@ -206,7 +206,7 @@
 			retry = 0
 			continue
 		}
-		f.leave(address, err)
+		f.switchControl(address, err)
 		pause(ctx, retry.next(err))
 	}
 }
@@ -220,37 +220,37 @@
 	}
 }
 
-// target gives the control VM to ask: the one that answered last, else the first
-// choice of those that did not fail lately. With each question for everything the
-// choice is made anew, so that gates come back to a control VM that was gone.
+// target returns the control VM to ask: the one that answered last, otherwise the first choice
+// that did not fail recently. Every full refresh chooses again, so that gates return to a
+// control VM that was down.
 func (f *Follower) target() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	if f.current == "" || now.Sub(f.wholeAt) >= wholeInterval {
+	if f.current == "" || now.Sub(f.fullRefreshAt) >= fullRefreshInterval {
 		f.current = f.choice.choose(now, f.controls)
 	}
 	return f.current
 }
 
-// leave turns to other control VMs.
-func (f *Follower) leave(address string, err error) {
+// switchControl stops following a control VM that did not answer.
+func (f *Follower) switchControl(address string, err error) {
 	f.mu.Lock()
 	f.current = ""
-	f.choice.failed(time.Now(), address)
+	f.choice.recordFailure(time.Now(), address)
 	f.mu.Unlock()
-	f.missed(address, err)
+	f.recordNoAnswer(address, err)
 }
 
-// missed notes that a control VM did not answer.
-func (f *Follower) missed(address string, err error) {
+// recordNoAnswer counts and logs that a control VM did not answer.
+func (f *Follower) recordNoAnswer(address string, err error) {
 	f.options.Metrics.Count("follow.lost")
 	f.mu.Lock()
-	f.lost++
-	first := f.lost == 1
+	f.consecutiveFailures++
+	first := f.consecutiveFailures == 1
 	f.mu.Unlock()
-	if first { // the next line of it says that one answers again
-		f.options.Log.Info("control VM does not answer, asking others", zap.String("control", address),
+	if first { // logged once until a control VM answers, which logs "following"
+		f.options.Log.Info("control VM does not answer, trying others", zap.String("control", address),
 			zap.Duration("age", f.Age()), zap.Error(err))
 	}
 }
@@ -259,15 +259,15 @@
 	request := f.request()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	asked := make(chan struct{})
-	defer close(asked)
+	done := make(chan struct{})
+	defer close(done)
 	superseded := atomic.Bool{}
-	go func() { // a new report does not wait for the answer to the last
+	go func() { // a changed report does not wait for the answer to the last one
 		select {
 		case <-f.wake:
 			superseded.Store(true)
 			cancel()
-		case <-asked:
+		case <-done:
 		}
 	}()
 	response, err := f.call(ctx, address, request)
@@ -277,33 +277,33 @@
 		}
 		return err
 	}
-	f.take(address, request, response)
+	f.applyResponse(address, request, response)
 	return nil
 }
 
 func (f *Follower) call(ctx context.Context, address string, request *controlapi.FollowRequest) (*controlapi.FollowResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, callWait+callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, pollWait+callTimeout)
 	defer cancel()
 	response, err := rpc.Call(ctx, f.options.Calls, address, controlapi.Follow, request)
 	if err != nil {
 		return nil, err
 	}
 	if err := response.Unpack(); err != nil {
-		return nil, fmt.Errorf("read the changes of %s: %w", address, err)
+		return nil, fmt.Errorf("unpack the answer of control VM %s: %w", address, err)
 	}
 	return response, nil
 }
 
-// request is this gate's report and its question.
+// request returns the next request: this gate's report and the versions that it has.
 func (f *Follower) request() *controlapi.FollowRequest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.gate.Sequence++
 	request := &controlapi.FollowRequest{
-		Gate: f.gate, Routes: f.Routes().Version(), Epoch: f.epoch, Since: f.since, Wait: callWait, Peers: f.peers,
+		Gate: f.gate, Routes: f.Routes().Version(), Epoch: f.epoch, Since: f.since, Wait: pollWait, Peers: f.peers,
 		TakesPacked: true, TakesGateChanges: true,
 	}
-	if time.Since(f.wholeAt) >= wholeInterval {
+	if time.Since(f.fullRefreshAt) >= fullRefreshInterval {
 		request.Epoch, request.Since = "", 0
 	}
 	return request
--- a/internal/gate/follow/take.go
+++ b/internal/gate/follow/take.go
@@ -12,44 +12,44 @@
 	"slateway.example/slateway/internal/telemetry"
 )
 
-// take takes in an answer. One goroutine at a time may call it.
-func (f *Follower) take(address string, asked *controlapi.FollowRequest, response *controlapi.FollowResponse) {
-	f.heard.Store(int64(time.Since(f.start)))
-	if document := f.document(address, response); document != nil {
-		f.takeRoutes(address, document)
-	}
-	whole := asked.Since == 0 || response.Epoch != asked.Epoch
-	f.takeReplicas(address, &response.Changes, whole)
+// applyResponse applies an answer of a control VM. It must not be called concurrently.
+func (f *Follower) applyResponse(address string, request *controlapi.FollowRequest, response *controlapi.FollowResponse) {
+	f.lastContact.Store(int64(time.Since(f.start)))
+	if document := f.unpackRoutes(address, response); document != nil {
+		f.installRoutes(address, document)
+	}
+	full := request.Since == 0 || response.Epoch != request.Epoch
+	f.applyReplicas(address, &response.Changes, full)
 	f.mu.Lock()
-	if response.Epoch != f.epoch || f.lost > 0 {
+	if response.Epoch != f.epoch || f.consecutiveFailures > 0 {
 		f.options.Log.Info("following", zap.String("control", address), zap.String("epoch", response.Epoch),
-			zap.Int("asked_in_vain", f.lost))
+			zap.Int("asked_in_vain", f.consecutiveFailures))
 	}
-	f.lost = 0
-	f.choice.answered(address)
+	f.consecutiveFailures = 0
+	f.choice.recordAnswer(address)
 	f.epoch, f.since = response.Epoch, response.Changes.Version
 	if len(response.Controls) > 0 {
-		f.takeControls(response.Controls)
+		f.setControls(response.Controls)
 		f.keepers = response.Keepers
 		f.peers = response.Peers
 	}
-	if whole {
-		f.wholeAt = time.Now()
+	if full {
+		f.fullRefreshAt = time.Now()
 	}
-	calls := f.takeGates(response, whole)
+	callbacks := f.applyGates(response, full)
 	f.mu.Unlock()
-	for _, fn := range calls {
+	for _, fn := range callbacks {
 		fn()
 	}
 	if f.Routes().Version() > 0 {
-		f.known.Do(func() { close(f.first) })
+		f.firstOnce.Do(func() { close(f.first) })
 	}
 }
 
-// takeControls notes the control VMs. The first time, the one that answered is one
-// of the few that the settings of all gates name: each gate goes on at its own
-// choice among all. The mutex is held.
-func (f *Follower) takeControls(controls []string) {
+// setControls updates the known control VMs. The first answer comes from one of the few
+// control VMs in all gates' settings, so this gate then switches to its own choice among all
+// of them. The caller holds f.mu.
+func (f *Follower) setControls(controls []string) {
 	first := f.peers == 0
 	f.controls = controls
 	if first {
@@ -57,23 +57,23 @@
 	}
 }
 
-// document gives the routes of an answer; nil if there are none. Those that cannot be
-// unpacked are asked for again with the next question.
-func (f *Follower) document(address string, response *controlapi.FollowResponse) *routes.Document {
+// unpackRoutes returns the routes of an answer, or nil if there are none. Routes that cannot
+// be unpacked are requested again by the next request.
+func (f *Follower) unpackRoutes(address string, response *controlapi.FollowResponse) *routes.Document {
 	if len(response.Packed) == 0 {
 		return response.Routes
 	}
 	document, err := response.Packed.Unpack()
 	if err != nil {
-		f.options.Log.Warn("routes not taken", zap.String("control", address), zap.Error(err))
+		f.options.Log.Warn("cannot unpack the routes, keeping the current ones", zap.String("control", address), zap.Error(err))
 		return nil
 	}
 	return document
 }
 
-// takeRoutes puts newer routes in force. A control VM that lags behind, or has
-// started anew, never takes a gate back to older ones.
-func (f *Follower) takeRoutes(address string, document *routes.Document) {
+// installRoutes installs newer routes. A control VM that lags behind or has restarted cannot
+// revert a gate to older ones.
+func (f *Follower) installRoutes(address string, document *routes.Document) {
 	f.routesMu.Lock()
 	defer f.routesMu.Unlock()
 	before := f.Routes().Version()
@@ -82,29 +82,29 @@
 	}
 	f.matcher.Store(routes.NewMatcher(document))
 	f.options.Metrics.Set("routes.version", int64(document.Version))
-	f.options.Log.Info("routes in force", zap.Uint64("version", document.Version), zap.Uint64("before", before),
+	f.options.Log.Info("new routes in force", zap.Uint64("version", document.Version), zap.Uint64("before", before),
 		zap.Int("routes", len(document.Routes)), zap.String("control", address))
 }
 
-func (f *Follower) takeReplicas(address string, changes *roster.Changes, whole bool) {
+func (f *Follower) applyReplicas(address string, changes *roster.Changes, full bool) {
 	now := time.Now()
 	for i := range changes.Replicas {
 		a := &changes.Replicas[i]
 		if err := f.options.Router.Announce(*a); err != nil {
-			f.options.Log.Warn("announcement not taken", telemetry.Upstream(string(a.Replica)), zap.Error(err))
+			f.options.Log.Warn("cannot apply the announcement of a replica", telemetry.Upstream(string(a.Replica)), zap.Error(err))
 			continue
 		}
 		f.listed[a.Replica] = listing{service: a.Service, incarnation: a.Incarnation, at: now}
-		if !whole {
-			f.options.Log.Info("replica known", telemetry.Upstream(string(a.Replica)), zap.String("service", a.Service),
+		if !full {
+			f.options.Log.Info("replica added or changed", telemetry.Upstream(string(a.Replica)), zap.String("service", a.Service),
 				zap.String("address", a.Address), zap.Uint64("incarnation", a.Incarnation), zap.Bool("leaving", a.Leaving),
 				zap.String("control", address))
 		}
 	}
 	for _, gone := range changes.Gone {
-		f.withdraw(gone, "forgotten by the control VMs")
+		f.withdraw(gone, "removed by the control VMs")
 	}
-	if !whole {
+	if !full {
 		return
 	}
 	for id, known := range f.listed {
@@ -121,28 +121,29 @@
 		zap.Uint64("incarnation", gone.Incarnation), zap.String("why", why))
 }
 
-// takeGates notes the gates and gives what to call for it. The mutex is held.
-func (f *Follower) takeGates(response *controlapi.FollowResponse, whole bool) []func() {
+// applyGates updates the list of gates and returns the functions to call if it changed. The
+// caller holds f.mu.
+func (f *Follower) applyGates(response *controlapi.FollowResponse, full bool) []func() {
 	changes, expected := &response.Changes, response.ExpectedGates
 	if !changes.HasGates && len(changes.Gates)+len(changes.GatesGone) == 0 && f.expected == expected {
 		return nil
 	}
 	f.expected = expected
 	f.gates = roster.ApplyGates(f.gates, changes)
-	if whole {
-		f.before = response.GatesBefore
+	if full {
+		f.missing = response.GatesBefore
 	}
-	f.before = f.notBack()
+	f.missing = f.stillMissing()
 	return f.onGates
 }
 
-// notBack gives those of the gates from before a stop of all that do not live again;
-// none once as many live as there are. The mutex is held.
-func (f *Follower) notBack() []roster.Gate {
+// stillMissing returns the missing gates that have not returned; none once as many gates live
+// as are expected. The caller holds f.mu.
+func (f *Follower) stillMissing() []roster.Gate {
 	if f.expected <= len(f.gates) {
 		return nil
 	}
-	return slices.DeleteFunc(slices.Clone(f.before), func(before roster.Gate) bool {
+	return slices.DeleteFunc(slices.Clone(f.missing), func(before roster.Gate) bool {
 		return slices.ContainsFunc(f.gates, func(g roster.Gate) bool { return g.VM == before.VM })
 	})
 }
--- a/internal/limit/answers.go
+++ b/internal/limit/answers.go
@@ -2,49 +2,49 @@
 
 import "time"
 
-// AskID names an ask: the process that asks and its number there. The zero AskID is of
-// an ask that is never repeated.
+// AskID identifies an ask by the asking process and a sequence number. Asks with the
+// zero AskID are never repeated and are not cached.
 type AskID struct {
-	Gate   string // and the start of its process
+	Gate   string // VM name and start time of the asking process
 	Number uint64
 }
 
-// answers keeps the answers of the last moments, so that an ask which is sent again
-// because its answer was lost takes one credit only.
-type answers struct {
-	recent, before map[AskID]Answer
-	turned         time.Time
+// answerCache keeps recent answers, so that an ask that is retransmitted because its
+// answer was lost takes one credit only.
+type answerCache struct {
+	recent, previous map[AskID]Answer
+	rotatedAt        time.Time
 }
 
-// answersLifetime is the least time for which answers are kept: longer than a gate
-// repeats an ask.
-const answersLifetime = time.Second
+// minAnswerLifetime is the minimum time that an answer is cached. It is longer than the
+// time during which a gate retransmits an ask.
+const minAnswerLifetime = time.Second
 
-func (a *answers) find(now time.Time, id AskID) (Answer, bool) {
-	a.turn(now)
+func (a *answerCache) get(now time.Time, id AskID) (Answer, bool) {
+	a.rotate(now)
 	if answer, known := a.recent[id]; known {
 		return answer, true
 	}
-	answer, known := a.before[id]
+	answer, known := a.previous[id]
 	return answer, known
 }
 
-func (a *answers) add(now time.Time, id AskID, answer Answer) {
+func (a *answerCache) add(now time.Time, id AskID, answer Answer) {
 	if id == (AskID{}) {
 		return
 	}
-	a.turn(now)
+	a.rotate(now)
 	a.recent[id] = answer
 }
 
-func (a *answers) turn(now time.Time) {
-	if a.recent != nil && now.Sub(a.turned) < answersLifetime {
+func (a *answerCache) rotate(now time.Time) {
+	if a.recent != nil && now.Sub(a.rotatedAt) < minAnswerLifetime {
 		return
 	}
-	a.before = a.recent
-	if now.Sub(a.turned) >= 2*answersLifetime {
-		a.before = nil
+	a.previous = a.recent
+	if now.Sub(a.rotatedAt) >= 2*minAnswerLifetime {
+		a.previous = nil
 	}
 	a.recent = make(map[AskID]Answer)
-	a.turned = now
+	a.rotatedAt = now
 }
--- a/internal/limit/caution.go
+++ b/internal/limit/caution.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// Caution says for which teams a gate asks before it starts a request. It is not safe
-// for concurrent use.
-type Caution struct {
-	forAll time.Time            // until when it asks first for all teams
-	until  map[string]time.Time // by team
+// AdmissionChecks tracks the teams for which a gate must ask the owner before it starts
+// a request. It is not safe for concurrent use.
+type AdmissionChecks struct {
+	allUntil time.Time            // end of the checks for all teams
+	until    map[string]time.Time // end of the checks by team
 }
 
-// cautionTime is how long a gate asks first after it was told that credit runs low.
-const cautionTime = 5 * time.Second
+// checkDuration is how long a gate asks before start after a low-credit notification.
+const checkDuration = 5 * time.Second
 
-// NewCaution makes the Caution of a gate that has just started. It has not heard for
-// which teams credit runs low, and asks first for all.
-func NewCaution(now time.Time) *Caution {
-	return &Caution{forAll: now.Add(cautionTime), until: make(map[string]time.Time)}
+// NewAdmissionChecks returns the checks of a gate that has just started. The gate does
+// not know yet which teams are low on credit, so it checks every team at first.
+func NewAdmissionChecks(now time.Time) *AdmissionChecks {
+	return &AdmissionChecks{allUntil: now.Add(checkDuration), until: make(map[string]time.Time)}
 }
 
-// Note makes the gate ask first for a team.
-func (c *Caution) Note(now time.Time, team string) { c.until[team] = now.Add(cautionTime) }
+// Require makes the gate ask before it starts requests of the team.
+func (c *AdmissionChecks) Require(now time.Time, team string) { c.until[team] = now.Add(checkDuration) }
 
-// AskFirst says whether to ask first for a team.
-func (c *Caution) AskFirst(now time.Time, team string) bool {
-	return now.Before(c.forAll) || now.Before(c.until[team])
+// Required reports whether the gate must ask before it starts a request of the team.
+func (c *AdmissionChecks) Required(now time.Time, team string) bool {
+	return now.Before(c.allUntil) || now.Before(c.until[team])
 }
 
-// Forget drops what is over.
-func (c *Caution) Forget(now time.Time) {
+// Expire deletes the entries whose time is over.
+func (c *AdmissionChecks) Expire(now time.Time) {
 	maps.DeleteFunc(c.until, func(_ string, until time.Time) bool { return now.After(until) })
 }
--- a/internal/limit/holders.go
+++ b/internal/limit/holders.go
@@ -9,69 +9,70 @@
 // Gate is a gate that may hold the credit of teams.
 type Gate struct {
 	VM       string
-	Started  int64 // start of its process, in ms since 1970; 0: stopped with all others, and soon back
+	Started  int64 // process start in ms since 1970; 0: went down with all other gates and is expected back
 	Draining bool
 }
 
-// SettleTime is how long a gate runs before it owns teams, if others ran before it.
-// A gate that restarts often would else take accounts over and lose them again.
+// SettleTime is how long a gate must run before it owns teams if other gates are older.
+// Otherwise a gate that restarts often would take over accounts and lose them again.
 const SettleTime = 5 * time.Second
 
-// sameStart is how far apart gates may start that count as started together.
-const sameStart = time.Second
+// simultaneousStartWindow is the largest difference between the start times of gates
+// that count as started together.
+const simultaneousStartWindow = time.Second
 
-// Holders are the gates that may own teams, in the view of one gate.
+// Holders is one gate's view of the gates that may own teams.
 type Holders struct {
-	names  []string
-	chosen map[string]Choice // by team, as far as it was asked for
-	// Complete: the view holds all gates there are. After a stop of all, gates that
-	// know few others each choose owners of their own.
-	Complete bool
-	opening  float64 // with how many margins an owner's new account begins
-	// standstill is how long no gate can have granted anything before these started.
-	standstill time.Duration
-	// SettledAt is when the view changes though no gate does: when a gate has run for
-	// SettleTime. Zero: not by itself.
-	SettledAt time.Time
+	eligible []string
+	choices  map[string]Choice // cache by team
+	// Complete reports that the view contains all expected gates. After all gates were
+	// down, gates that know only a few others choose different owners for a team.
+	Complete       bool
+	openingMargins float64 // initial credit of an owner's new account, in margins
+	// downtime is how long before the start of these gates no gate can have granted credit.
+	downtime time.Duration
+	// NextChange is when the view changes without a change of the gates, because a gate
+	// reaches SettleTime; zero if there is no such time.
+	NextChange time.Time
 }
 
-// Choice names the gates that hold a team's credit; a name is empty if there is no
+// Choice is the pair of gates that hold a team's credit. A name is empty if there is no
 // such gate.
 type Choice struct{ Owner, Standby string }
 
-// NewHolders makes the view of a gate that knows these gates, of so many expected
-// ones; 0: as many as it knows.
+// NewHolders creates the view of a gate that knows the given gates. expected is the
+// number of gates of the site; 0: the known ones are all.
 func NewHolders(gates []Gate, expected int, now time.Time) *Holders {
-	h := &Holders{chosen: make(map[string]Choice), Complete: expected <= len(gates), opening: 1}
-	oldest := oldestOf(gates)
+	h := &Holders{choices: make(map[string]Choice), Complete: expected <= len(gates), openingMargins: 1}
+	oldest := oldestStart(gates)
 	if oldest > 0 && now.Before(time.UnixMilli(oldest).Add(SettleTime)) {
-		h.standstill = leastStandstill
+		h.downtime = minDowntime
 	}
 	if !h.Complete {
-		h.opening = float64(len(gates)) / float64(expected)
+		h.openingMargins = float64(len(gates)) / float64(expected)
 	}
 	for _, g := range gates {
 		if g.Draining {
 			continue
 		}
 		settled := time.UnixMilli(g.Started).Add(SettleTime)
-		if g.Started-oldest > sameStart.Milliseconds() && now.Before(settled) {
-			if h.SettledAt.IsZero() || settled.Before(h.SettledAt) {
-				h.SettledAt = settled
+		if g.Started-oldest > simultaneousStartWindow.Milliseconds() && now.Before(settled) {
+			if h.NextChange.IsZero() || settled.Before(h.NextChange) {
+				h.NextChange = settled
 			}
 			continue
 		}
-		h.names = append(h.names, g.VM)
+		h.eligible = append(h.eligible, g.VM)
 	}
 	return h
 }
 
-// leastStandstill is the least time without any grant when all gates have just started:
-// from the end of the processes before them until a gate is ready.
-const leastStandstill = 300 * time.Millisecond
+// minDowntime is the minimum time without any grant when all gates have just started:
+// from the end of the previous processes until the first gate is ready.
+const minDowntime = 300 * time.Millisecond
 
-// oldestOf gives the start of the process that has run for longest; 0 if none runs.
-func oldestOf(gates []Gate) int64 {
+// oldestStart returns the earliest start time of a running gate; 0 if none runs.
+func oldestStart(gates []Gate) int64 {
 	oldest := int64(0)
 	for _, g := range gates {
 		if g.Started > 0 && (oldest == 0 || g.Started < oldest) {
@@ -81,43 +82,44 @@
 	return oldest
 }
 
-// Of gives the gates that hold a team's credit.
-func (h *Holders) Of(team string) Choice {
-	if choice, known := h.chosen[team]; known {
+// Choose returns the gates that hold a team's credit.
+func (h *Holders) Choose(team string) Choice {
+	if choice, known := h.choices[team]; known {
 		return choice
 	}
-	owner, standby := rendezvous.BestTwo(team, h.names)
+	owner, standby := rendezvous.BestTwo(team, h.eligible)
 	choice := Choice{Owner: owner, Standby: standby}
-	h.chosen[team] = choice
+	h.choices[team] = choice
 	return choice
 }
 
-// Stance is what a gate is to a team.
-type Stance struct {
-	Owned   bool    // the gate owns it
-	Opening float64 // with how many margins a new account begins
-	// Standstill is the time before whose credit is there too: nobody granted it.
-	Standstill time.Duration
-	// Witnesses is the number of gates that must find the owner silent before the
-	// gate, its standby, acts for it.
-	Witnesses int
+// Role describes what a gate may grant to a team.
+type Role struct {
+	Owned          bool    // the gate is the team's owner
+	OpeningMargins float64 // initial credit of a new account, in margins
+	// Downtime is the time before the account's creation in which nobody can have granted
+	// credit. The new account is credited for it.
+	Downtime time.Duration
+	// TakeoverQuorum is how many gates must report that the owner does not answer before
+	// this gate, as standby, acts for the owner.
+	TakeoverQuorum int
 }
 
-// standbyOpening is how many margins a standby grants in a window while it does not
-// act for the owner.
-const standbyOpening = 0.5
+// standbyMargins is the number of margins that a standby grants in a window while it does
+// not act for the owner.
+const standbyMargins = 0.5
 
-// maxWitnesses: one gate alone may have lost its way to an owner that goes on granting
-// credit to the others.
-const maxWitnesses = 3
+// maxTakeoverQuorum is above 1 because a single gate may have lost its connection to an
+// owner that still grants credit to the others.
+const maxTakeoverQuorum = 3
 
-// Stance gives what a gate is to a team.
-func (h *Holders) Stance(team, vm string) Stance {
-	stance := Stance{Owned: h.Of(team).Owner == vm, Opening: h.opening, Witnesses: max(1, min(len(h.names)/2, maxWitnesses))}
-	if !stance.Owned {
-		stance.Opening = min(stance.Opening, standbyOpening)
+// Role returns the role of the gate vm for a team.
+func (h *Holders) Role(team, vm string) Role {
+	role := Role{Owned: h.Choose(team).Owner == vm, OpeningMargins: h.openingMargins, TakeoverQuorum: max(1, min(len(h.eligible)/2, maxTakeoverQuorum))}
+	if !role.Owned {
+		role.OpeningMargins = min(role.OpeningMargins, standbyMargins)
 	} else if h.Complete {
-		stance.Standstill = h.standstill
+		role.Downtime = h.downtime
 	}
-	return stance
+	return role
 }
--- a/internal/limit/ledger.go
+++ b/internal/limit/ledger.go
@@ -7,113 +7,114 @@
 	"time"
 )
 
-// Ledger holds the credit of teams at one gate. It is not safe for concurrent use.
+// Ledger keeps the credit of teams at one gate. It is not safe for concurrent use.
 type Ledger struct {
 	tolerance Tolerance
 	random    *rand.Rand
 	accounts  map[string]*account
-	answered  answers
+	answers   answerCache
 }
 
-// NewLedger makes an empty ledger.
+// NewLedger creates an empty ledger.
 func NewLedger(tolerance Tolerance, random *rand.Rand) *Ledger {
 	return &Ledger{tolerance: tolerance, random: random, accounts: make(map[string]*account)}
 }
 
-// account is one team's credit.
+// account is one team's token bucket.
 type account struct {
-	cap     Cap
-	version uint64  // of the routes that have the cap
-	margin  float64 // requests above the cap
-	owned   bool    // this gate is the owner, so that credit comes in
-	credit  float64
-	at      time.Time // until when what came in is counted
-	granted time.Time // when the last credit was taken
-	told    time.Time // when all gates were last to be told that credit runs low
-	asked   time.Time // when one was last asked for
-	// promised is the credit for whose time callers were told to come back.
+	cap           Cap
+	version       uint64  // version of the routes that contain the cap
+	margin        float64 // requests allowed above the cap
+	owned         bool    // this gate is the team's owner, so credit accrues
+	credit        float64
+	refilledAt    time.Time // accrued credit is included up to this time
+	lastGrant     time.Time // time of the last grant
+	lowNotifiedAt time.Time // time of the last low-credit notification to all gates
+	lastAsk       time.Time // time of the last ask
+	// promised is the credit for which refused callers were given a time to retry.
 	promised float64
 
-	witnesses []witness // gates to which the owner is silent
-	acting    bool      // this gate is the standby, and stands in for the owner
-	toldOwner time.Time // when the owner was last to be told so
-	yields    time.Time // until when this gate, the owner, leaves the team to its standby
+	timeouts        []ownerTimeout // gates that the owner did not answer recently
+	acting          bool           // this gate is the standby and acts for the owner
+	ownerNotifiedAt time.Time      // time of the last notification to the owner that its standby acts for it
+	yieldsUntil     time.Time      // as owner, this gate leaves the team to its standby until then
 }
 
-// witness is a gate to which the owner of a team did not answer.
-type witness struct {
+// ownerTimeout records that the owner of a team did not answer a gate.
+type ownerTimeout struct {
 	gate string
 	at   time.Time
 }
 
-// Verdict is the answer to a request for a credit.
+// Verdict is the decision on an ask.
 type Verdict int
 
-// Verdicts.
+// Verdicts on an ask.
 const (
 	Granted Verdict = iota + 1
-	OverCap         // the team has used what it may
-	// Undecided: the gate does not own the team, and cannot tell whether it is over
-	// its cap.
+	OverCap         // the team has used up its cap
+	// Undecided means that this gate does not own the team and cannot tell whether the
+	// team is over its cap.
 	Undecided
 )
 
-// Answer is a verdict.
+// Answer is the answer to an ask.
 type Answer struct {
-	Verdict Verdict
-	Wait    time.Duration // until there may be credit, if there is none
-	Low     bool          // credit runs low: ask before a request of the team starts
-	TellAll bool          // all gates are to be told so
-	// TellOwner: the owner is to be told that this gate, its standby, acts for it.
-	TellOwner bool
+	Verdict   Verdict
+	Wait      time.Duration // time until credit may be available, if there is none
+	Low       bool          // credit runs low: the gate must ask before it starts a request of the team
+	NotifyAll bool          // notify all gates that credit runs low
+	// NotifyOwner asks to notify the owner that this gate, its standby, acts for it.
+	NotifyOwner bool
 }
 
-// undecidedWait is how soon to ask again where the owner is not known: about the time
-// in which a gate that is gone is noticed.
-const undecidedWait = 250 * time.Millisecond
+// undecidedRetryDelay is the retry delay while the owner is unknown. It is about the time
+// in which the failure of a gate is detected.
+const undecidedRetryDelay = 250 * time.Millisecond
 
 // Ask is a request for one credit.
 type Ask struct {
-	ID      AskID
-	Team    string
-	Cap     Cap
-	Version uint64 // of the routes that have the cap
-	Started bool   // the request runs already: the credit is charged, though there is none
-	Silent  bool   // the owner did not answer the gate that asks
+	ID            AskID
+	Team          string
+	Cap           Cap
+	Version       uint64 // version of the routes that contain the cap
+	Started       bool   // the request is already running: charge it even if there is no credit
+	OwnerTimedOut bool   // the owner did not answer the asking gate
 }
 
-// Take takes one credit of a team. A repeated ask gets the answer of the first.
-func (l *Ledger) Take(now time.Time, ask Ask, stance Stance) Answer {
-	if answer, known := l.answered.find(now, ask.ID); known {
+// Take takes one credit of a team. A repeated ask gets the answer of the first one.
+func (l *Ledger) Take(now time.Time, ask Ask, role Role) Answer {
+	if answer, known := l.answers.get(now, ask.ID); known {
 		return answer
 	}
-	a := l.account(now, &ask, &stance)
-	a.setOwned(now, stance.Owned)
+	a := l.accountOf(now, &ask, &role)
+	a.setOwned(now, role.Owned)
 	a.setCap(now, ask.Cap, ask.Version, l.tolerance)
-	a.asked = now
-	if ask.Silent {
-		a.hearOf(now, ask.ID.Gate, stance.Witnesses)
+	a.lastAsk = now
+	if ask.OwnerTimedOut {
+		a.recordTimeout(now, ask.ID.Gate, role.TakeoverQuorum)
 	}
 	answer := a.take(now, l.tolerance, ask.Started)
-	l.answered.add(now, ask.ID, answer)
+	l.answers.add(now, ask.ID, answer)
 	return answer
 }
 
-// account gives the team's account. A new one begins with margins only: another gate
-// may have granted all else a moment ago.
-func (l *Ledger) account(now time.Time, ask *Ask, stance *Stance) *account {
+// accountOf returns the team's account, creating it if necessary. A new account starts
+// with margins only, because another gate may just have granted everything else.
+func (l *Ledger) accountOf(now time.Time, ask *Ask, role *Role) *account {
 	a := l.accounts[ask.Team]
 	if a == nil {
-		a = &account{cap: ask.Cap, version: ask.Version, margin: l.tolerance.margin(ask.Cap), at: now}
-		a.credit = min(a.depth(), l.whole(a.margin*stance.Opening+a.cap.Rate*stance.Standstill.Seconds()))
+		a = &account{cap: ask.Cap, version: ask.Version, margin: l.tolerance.margin(ask.Cap), refilledAt: now}
+		a.credit = min(a.depth(), l.roundRandomly(a.margin*role.OpeningMargins+a.cap.Rate*role.Downtime.Seconds()))
 		l.accounts[ask.Team] = a
 	}
 	return a
 }
 
-// whole rounds a part of a credit up or down at random, so that the openings of many
-// gates that know few others add up to one.
-func (l *Ledger) whole(credit float64) float64 {
+// roundRandomly rounds down to a whole credit; below 1 it returns 1 with the probability
+// given by the fraction. So the initial credit of many gates that know only a few others
+// adds up to the expected total.
+func (l *Ledger) roundRandomly(credit float64) float64 {
 	floor, part := math.Modf(credit)
 	if credit < 1 && l.random.Float64() < part {
 		return 1
@@ -124,50 +125,51 @@
 	return floor
 }
 
-// SetOwned tells which teams this gate owns from now on.
+// SetOwned updates which teams this gate owns.
 func (l *Ledger) SetOwned(now time.Time, owned func(team string) bool) {
 	for team, a := range l.accounts {
 		a.setOwned(now, owned(team))
 	}
 }
 
-// setOwned counts what came in until now by the ownership of before.
+// setOwned adds the credit accrued so far under the previous ownership, then changes it.
 func (a *account) setOwned(now time.Time, owned bool) {
-	a.fill(now)
+	a.refill(now)
 	a.owned = owned
 	if owned {
-		a.acting, a.witnesses = false, nil
+		a.acting, a.timeouts = false, nil
 	}
 }
 
-// grants says whether credit comes in here: at the owner, and at a standby that stands
-// in for it.
-func (a *account) grants(now time.Time) bool {
-	return a.owned && !now.Before(a.yields) || a.acting
+// accruesCredit reports whether credit accrues here: at the owner, and at a standby that
+// acts for the owner.
+func (a *account) accruesCredit(now time.Time) bool {
+	return a.owned && !now.Before(a.yieldsUntil) || a.acting
 }
 
-// depth is the most credit that the account holds.
+// depth returns the maximum credit that the account holds.
 func (a *account) depth() float64 { return max(1, float64(a.cap.Burst)+a.margin) }
 
-func (a *account) fill(now time.Time) {
-	passed := now.Sub(a.at)
+func (a *account) refill(now time.Time) {
+	passed := now.Sub(a.refilledAt)
 	if passed <= 0 {
 		return
 	}
-	grants := a.grants(a.at)
-	a.at = now
-	if grants {
+	accrues := a.accruesCredit(a.refilledAt)
+	a.refilledAt = now
+	if accrues {
 		a.promised = max(0, a.promised-a.cap.Rate*passed.Seconds())
 		a.credit = min(a.depth(), a.credit+a.cap.Rate*passed.Seconds())
 	}
 }
 
-// setCap puts the cap of the newest routes in force. A larger burst is there at once.
+// setCap applies the cap of the newest routes. At the owner, a larger burst is available
+// at once.
 func (a *account) setCap(now time.Time, c Cap, version uint64, t Tolerance) {
 	if version < a.version || c == a.cap {
 		return
 	}
-	a.fill(now)
+	a.refill(now)
 	before := a.depth()
 	a.cap, a.version, a.margin = c, version, t.margin(c)
 	if a.owned {
@@ -176,63 +178,62 @@
 	a.credit = min(a.credit, a.depth())
 }
 
-// lowShare: credit runs low when less than a half of the margin is left. Until all
-// gates know it, the rest and a margin of its own cover the requests that start.
-const lowShare = 2
+// lowMarginDivisor defines low credit: less than half of the margin is left. Until all
+// gates are notified, that half and a further margin cover the requests that they start.
+const lowMarginDivisor = 2
 
-// longestWait bounds the time after which callers are told to come back.
-const longestWait = 10 * time.Second
+// maxRetryDelay bounds the retry delay that callers are given.
+const maxRetryDelay = 10 * time.Second
 
-// promise gives the time until there is a credit that no other caller was told to come
-// back for. Told the same time, the callers of a step or after an outage would come
-// back together, and all but one be refused again.
-func (a *account) promise() time.Duration {
+// scheduleRetry returns the time until there is a credit that no other refused caller
+// was promised. With equal delays, the callers of a load step or after an outage would
+// retry together, and all but one would be refused again.
+func (a *account) scheduleRetry() time.Duration {
 	missing := 1 - a.credit + a.promised
 	wait := time.Duration(math.Ceil(missing/a.cap.Rate*1000)) * time.Millisecond
-	if wait >= longestWait {
-		return longestWait
+	if wait >= maxRetryDelay {
+		return maxRetryDelay
 	}
 	a.promised++
 	return wait
 }
 
-func (a *account) low() bool { return a.credit < a.margin/lowShare }
+func (a *account) low() bool { return a.credit < a.margin/lowMarginDivisor }
 
-// tellInterval is the least time between two times that all gates are told that a
-// team's credit runs low.
-const tellInterval = time.Second
+// lowNotifyInterval is the minimum time between low-credit notifications for a team.
+const lowNotifyInterval = time.Second
 
 func (a *account) take(now time.Time, t Tolerance, started bool) Answer {
-	a.fill(now)
-	a.forgetWitnesses(now)
-	grants := a.grants(now)
-	if !grants && !a.granted.IsZero() && now.Sub(a.granted) >= t.Window {
-		a.credit = max(a.credit, a.margin*standbyOpening)
+	a.refill(now)
+	a.expireTimeouts(now)
+	accrues := a.accruesCredit(now)
+	if !accrues && !a.lastGrant.IsZero() && now.Sub(a.lastGrant) >= t.Window {
+		a.credit = max(a.credit, a.margin*standbyMargins)
 	}
 	var answer Answer
 	switch {
 	case a.credit >= 1 || started:
 		a.credit = max(a.credit-1, -a.depth())
-		a.granted = now
+		a.lastGrant = now
 		answer.Verdict = Granted
-	case grants:
-		answer.Verdict, answer.Wait = OverCap, a.promise()
+	case accrues:
+		answer.Verdict, answer.Wait = OverCap, a.scheduleRetry()
 	default:
-		answer.Verdict, answer.Wait = Undecided, undecidedWait
+		answer.Verdict, answer.Wait = Undecided, undecidedRetryDelay
 	}
-	answer.Low = !grants || a.low()
-	if answer.Low && grants && now.Sub(a.told) >= tellInterval {
-		a.told = now
-		answer.TellAll = true
+	answer.Low = !accrues || a.low()
+	if answer.Low && accrues && now.Sub(a.lowNotifiedAt) >= lowNotifyInterval {
+		a.lowNotifiedAt = now
+		answer.NotifyAll = true
 	}
-	if a.acting && now.Sub(a.toldOwner) >= actingInterval {
-		a.toldOwner = now
-		answer.TellOwner = true
+	if a.acting && now.Sub(a.ownerNotifiedAt) >= actingNotifyInterval {
+		a.ownerNotifiedAt = now
+		answer.NotifyOwner = true
 	}
 	return answer
 }
 
-// Return gives a credit back whose request did not run.
+// Return returns the credit of a request that did not run.
 func (l *Ledger) Return(team string) {
 	if a := l.accounts[team]; a != nil {
 		a.credit = min(a.depth(), a.credit+1)
@@ -240,59 +241,61 @@
 }
 
 const (
-	// witnessTime is how long the word of a gate counts that found the owner silent.
-	witnessTime = time.Second
-	// actingInterval is how often the owner is told that its standby acts for it, in
-	// case it runs after all; it yields for yieldTime each time.
-	actingInterval = 100 * time.Millisecond
-	yieldTime      = time.Second
+	// ownerTimeoutLifetime is how long a gate's report that the owner did not answer counts.
+	ownerTimeoutLifetime = time.Second
+	// actingNotifyInterval is how often a standby notifies the owner that it acts for it.
+	// An owner that is running after all then yields for yieldDuration.
+	actingNotifyInterval = 100 * time.Millisecond
+	yieldDuration        = time.Second
 )
 
-// hearOf notes that the owner is silent to a gate.
-func (a *account) hearOf(now time.Time, gate string, needed int) {
-	a.witnesses = slices.DeleteFunc(a.witnesses, func(w witness) bool { return w.gate == gate })
-	a.witnesses = append(a.witnesses, witness{gate: gate, at: now})
-	if !a.owned && len(a.witnesses) >= needed && !a.acting {
-		a.fill(now)
+// recordTimeout records that the owner did not answer a gate, and makes this gate act for
+// the owner once the needed number of gates have reported it.
+func (a *account) recordTimeout(now time.Time, gate string, needed int) {
+	a.timeouts = slices.DeleteFunc(a.timeouts, func(o ownerTimeout) bool { return o.gate == gate })
+	a.timeouts = append(a.timeouts, ownerTimeout{gate: gate, at: now})
+	if !a.owned && len(a.timeouts) >= needed && !a.acting {
+		a.refill(now)
 		a.acting = true
 	}
 }
 
-// forgetWitnesses ends the acting when gates have not found the owner silent lately.
-func (a *account) forgetWitnesses(now time.Time) {
-	a.witnesses = slices.DeleteFunc(a.witnesses, func(w witness) bool { return now.Sub(w.at) > witnessTime })
-	if len(a.witnesses) == 0 {
+// expireTimeouts drops old timeout reports and stops acting for the owner when none is
+// left.
+func (a *account) expireTimeouts(now time.Time) {
+	a.timeouts = slices.DeleteFunc(a.timeouts, func(o ownerTimeout) bool { return now.Sub(o.at) > ownerTimeoutLifetime })
+	if len(a.timeouts) == 0 {
 		a.acting = false
 	}
 }
 
-// Yield leaves a team that this gate owns to its standby for a while: to others this
-// gate seems silent.
+// Yield leaves a team that this gate owns to its standby for yieldDuration, because other
+// gates get no answer from this one.
 func (l *Ledger) Yield(now time.Time, team string) {
 	if a := l.accounts[team]; a != nil {
-		a.fill(now)
-		a.yields = now.Add(yieldTime)
+		a.refill(now)
+		a.yieldsUntil = now.Add(yieldDuration)
 	}
 }
 
-// idleLifetime is how long an account is kept that nobody asks for.
-const idleLifetime = 10 * time.Minute
+// accountIdleLifetime is how long an account without asks is kept.
+const accountIdleLifetime = 10 * time.Minute
 
-// Forget drops the accounts that nobody has asked for in a long time.
-func (l *Ledger) Forget(now time.Time) {
+// ExpireIdle deletes the accounts without an ask in accountIdleLifetime.
+func (l *Ledger) ExpireIdle(now time.Time) {
 	for team, a := range l.accounts {
-		if now.Sub(a.asked) > idleLifetime {
+		if now.Sub(a.lastAsk) > accountIdleLifetime {
 			delete(l.accounts, team)
 		}
 	}
 }
 
-// Status is what a gate knows of a team's credit.
+// Status is the state of a team's account at a gate.
 type Status struct {
 	Team   string
 	Cap    Cap
 	Credit float64
-	Owned  bool // this gate owns the team, so that its credit is the team's
+	Owned  bool // this gate owns the team, so Credit is the team's whole credit
 	Low    bool
 }
 
@@ -300,7 +303,7 @@
 func (l *Ledger) Statuses(now time.Time) []Status {
 	list := make([]Status, 0, len(l.accounts))
 	for team, a := range l.accounts {
-		a.fill(now)
+		a.refill(now)
 		list = append(list, Status{Team: team, Cap: a.cap, Credit: a.credit, Owned: a.owned, Low: a.low()})
 	}
 	return list
--- a/internal/limit/ledger_test.go
+++ b/internal/limit/ledger_test.go
@@ -14,8 +14,8 @@
 	tolerance = limit.Tolerance{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
 )
 
-// owner is the stance of a gate that owns the team.
-var owner = limit.Stance{Owned: true, Opening: 1}
+// owner is the role of a gate that owns the team.
+var owner = limit.Role{Owned: true, OpeningMargins: 1}
 
 func newLedger() *limit.Ledger {
 	return limit.NewLedger(tolerance, rand.New(rand.NewPCG(1, 2)))
@@ -23,8 +23,8 @@
 
 func askFor(c limit.Cap) limit.Ask { return limit.Ask{Team: "council", Cap: c, Version: 1} }
 
-// granted counts the credits that an owner grants of so many asks at one moment.
-func granted(l *limit.Ledger, now time.Time, c limit.Cap, asks int) int {
+// countGranted returns how many of the given number of simultaneous asks an owner grants.
+func countGranted(l *limit.Ledger, now time.Time, c limit.Cap, asks int) int {
 	count := 0
 	for range asks {
 		if l.Take(now, askFor(c), owner).Verdict == limit.Granted {
@@ -34,40 +34,41 @@
 	return count
 }
 
-// Guards against a team that gets more than its rate and burst in the long run, or less.
+// In the long run a team must get its rate and burst, neither more nor less.
 func TestAnOwnerGrantsTheRateAndTheBurst(t *testing.T) {
 	l := newLedger()
 	c := limit.Cap{Rate: 10, Burst: 5}
 	l.Take(start, askFor(c), owner)
 	rested := start.Add(time.Minute)
-	if got := granted(l, rested, c, 100); got < 5 || got > 5+6 {
-		t.Errorf("%d at once after a rest, the burst is 5 and its margin a fifth of 0.1 * 55 + 20", got)
+	if got := countGranted(l, rested, c, 100); got < 5 || got > 5+6 {
+		t.Errorf("%d granted at once after a minute, want the burst of 5 and at most a margin of (0.1 * 55 + 20) / 5", got)
 	}
 	total := 0
 	for at := rested; at.Before(rested.Add(10 * time.Second)); at = at.Add(10 * time.Millisecond) {
-		total += granted(l, at, c, 3)
+		total += countGranted(l, at, c, 3)
 	}
 	if total < 98 || total > 100 {
-		t.Errorf("%d in 10 s at 10 a second", total)
+		t.Errorf("%d granted in 10 s at 10 per second, want 98 to 100", total)
 	}
 }
 
-// Guards against callers who come back before there is credit, or long after.
+// A refused caller must get the time at which credit is available, not earlier or later.
 func TestARefusalSaysWhenThereIsCredit(t *testing.T) {
 	l := limit.NewLedger(limit.Tolerance{Window: 5 * time.Second}, rand.New(rand.NewPCG(1, 2)))
 	c := limit.Cap{Rate: 4, Burst: 1}
 	l.Take(start.Add(-time.Hour), askFor(c), owner)
-	granted(l, start, c, 1)
+	countGranted(l, start, c, 1)
 	answer := l.Take(start, askFor(c), owner)
 	if answer.Verdict != limit.OverCap || answer.Wait != 250*time.Millisecond {
 		t.Fatalf("%+v", answer)
 	}
 	if got := l.Take(start.Add(answer.Wait), askFor(c), owner); got.Verdict != limit.Granted {
-		t.Errorf("%+v after the wait", got)
+		t.Errorf("after the returned wait: %+v, want Granted", got)
 	}
 }
 
-// Guards against callers of a step who are all told the same time, come back together and are refused again.
+// Callers refused in the same load step must not all get the same retry time: they would
+// come back together and all but one would be refused again.
 func TestCallersComeBackOneAfterTheOther(t *testing.T) {
 	l := newLedger()
 	c := limit.Cap{Rate: 20, Burst: 10}
@@ -84,11 +85,11 @@
 		}
 	}
 	if len(back) < 40 || served != len(back) {
-		t.Errorf("%d of %d were served when they came back", served, len(back))
+		t.Errorf("%d of %d refused callers were granted credit at their retry time", served, len(back))
 	}
 }
 
-// Guards against an ask that is sent again and takes a second credit.
+// A retransmitted ask must not take a second credit.
 func TestARepeatedAskTakesOneCredit(t *testing.T) {
 	l := newLedger()
 	ask := askFor(limit.Cap{Rate: 0.001, Burst: 40})
@@ -99,15 +100,15 @@
 		}
 	}
 	if left := l.Statuses(start)[0].Credit; left < 3 {
-		t.Errorf("%.1f left: the repeats took credit", left)
+		t.Errorf("%.1f credits left: the repeated asks took credit", left)
 	}
 }
 
-// Guards against a request that has started and costs nothing because there is no credit left.
+// A request that has already started must be charged even when no credit is left.
 func TestRequestsThatHaveStartedAreCharged(t *testing.T) {
 	l := newLedger()
 	c := limit.Cap{Rate: 10, Burst: 10}
-	granted(l, start, c, 100)
+	countGranted(l, start, c, 100)
 	ask := askFor(c)
 	ask.Started = true
 	for range 5 {
@@ -116,138 +117,143 @@
 		}
 	}
 	if got := l.Take(start.Add(400*time.Millisecond), askFor(c), owner); got.Verdict != limit.OverCap {
-		t.Errorf("%+v 0.4 s after five requests too many, at 10 a second", got)
+		t.Errorf("%+v 0.4 s after five requests above the cap at 10 per second, want OverCap", got)
 	}
 }
 
-// Guards against gates that go on to start requests while credit runs low, and a flood of word of it.
+// When credit runs low, all gates must be notified, so that they ask before they start
+// requests; the notifications must not repeat with each request.
 func TestAllGatesAreToldOnceWhenCreditRunsLow(t *testing.T) {
 	l := newLedger()
 	c := limit.Cap{Rate: 10, Burst: 40}
 	l.Take(start, askFor(c), owner)
 	rested := start.Add(time.Minute)
-	told, low := 0, 0
+	notified, low := 0, 0
 	for range 60 {
 		answer := l.Take(rested, askFor(c), owner)
-		if answer.TellAll {
-			told++
+		if answer.NotifyAll {
+			notified++
 		}
 		if answer.Low {
 			low++
 		}
 	}
-	if told != 1 || low < 14 || low > 20 {
-		t.Errorf("told %d times, low %d times of 60", told, low)
+	if notified != 1 || low < 14 || low > 20 {
+		t.Errorf("of 60 answers, %d notify all gates and %d report low credit", notified, low)
 	}
 }
 
 func TestAGateAsksFirstForAWhileOnly(t *testing.T) {
-	caution := limit.NewCaution(start.Add(-time.Minute))
-	caution.Note(start, "council")
-	if !caution.AskFirst(start.Add(4*time.Second), "council") || caution.AskFirst(start, "parish") {
-		t.Error("the gate does not ask first for the team whose credit is low")
+	checks := limit.NewAdmissionChecks(start.Add(-time.Minute))
+	checks.Require(start, "council")
+	if !checks.Required(start.Add(4*time.Second), "council") || checks.Required(start, "parish") {
+		t.Error("the admission check is not limited to the team that is low on credit")
 	}
-	if caution.AskFirst(start.Add(6*time.Second), "council") {
-		t.Error("the gate asks first though nobody said so for long")
+	if checks.Required(start.Add(6*time.Second), "council") {
+		t.Error("the admission check is still required after 6 s without a notification")
 	}
-	if !limit.NewCaution(start).AskFirst(start.Add(time.Second), "parish") {
-		t.Error("a gate that has just started does not ask first")
+	if !limit.NewAdmissionChecks(start).Required(start.Add(time.Second), "parish") {
+		t.Error("a gate that has just started requires no admission check")
 	}
 }
 
-// Guards against a standby that grants without end because the owner cannot be reached from one side.
+// A standby that cannot reach the owner from its side of a partition must not grant without
+// limit.
 func TestAStandbyGrantsAFewInAWindow(t *testing.T) {
 	l := newLedger()
 	c := limit.Cap{Rate: 100, Burst: 100}
 	count := 0
 	for at := start; at.Before(start.Add(tolerance.Window)); at = at.Add(5 * time.Millisecond) {
-		if answer := l.Take(at, askFor(c), limit.Stance{Opening: 0.5, Witnesses: 3}); answer.Verdict == limit.Granted {
+		if answer := l.Take(at, askFor(c), limit.Role{OpeningMargins: 0.5, TakeoverQuorum: 3}); answer.Verdict == limit.Granted {
 			count++
 		} else if answer.Verdict != limit.Undecided {
-			t.Fatalf("%+v: a standby does not know that the team is over its cap", answer)
+			t.Fatalf("%+v from a standby, want Undecided: it cannot know that the team is over its cap", answer)
 		}
 	}
-	if count == 0 || count > 8 { // a half of a fifth of 0.1 * 600 + 20
-		t.Errorf("%d granted without owning the team", count)
+	if count == 0 || count > 8 { // half of a margin, (0.1 * 600 + 20) / 5
+		t.Errorf("%d granted in a window by a standby, want 1 to 8", count)
 	}
 }
 
-// Guards against a team that is refused for seconds because its owner is frozen, and credit from two gates once the owner is back.
+// A team whose owner is frozen must not be refused for seconds, and once the owner is back,
+// owner and standby must not both grant credit.
 func TestAStandbyActsForAnOwnerThatIsSilentToMany(t *testing.T) {
 	c := limit.Cap{Rate: 20, Burst: 20}
 	standby, count := newLedger(), 0
-	var told bool
+	var notified bool
 	for i := range 100 {
 		ask := askFor(c)
 		ask.ID = limit.AskID{Gate: fmt.Sprint("gate-", i%5), Number: uint64(i + 1)}
-		ask.Silent = true
-		answer := standby.Take(start.Add(time.Duration(i)*50*time.Millisecond), ask, limit.Stance{Opening: 0.5, Witnesses: 3})
-		told = told || answer.TellOwner
+		ask.OwnerTimedOut = true
+		answer := standby.Take(start.Add(time.Duration(i)*50*time.Millisecond), ask, limit.Role{OpeningMargins: 0.5, TakeoverQuorum: 3})
+		notified = notified || answer.NotifyOwner
 		if answer.Verdict == limit.Granted {
 			count++
 		}
 	}
-	if count < 90 || !told {
-		t.Errorf("%d of 100 granted in 5 s at 20 a second, the owner told: %t", count, told)
+	if count < 90 || !notified {
+		t.Errorf("%d of 100 granted in 5 s at 20 per second; owner notified: %t", count, notified)
 	}
 	back := newLedger()
 	back.Take(start, askFor(c), owner)
 	back.Yield(start.Add(time.Second), "council")
-	granted(back, start.Add(time.Second), c, 100)
+	countGranted(back, start.Add(time.Second), c, 100)
 	if answer := back.Take(start.Add(1500*time.Millisecond), askFor(c), owner); answer.Verdict == limit.Granted {
-		t.Errorf("%+v by an owner that was told that its standby acts", answer)
+		t.Errorf("%+v from an owner that yields to its standby", answer)
 	}
 }
 
-// Guards against a gate that counts credit for the time in which another one granted it.
+// A gate must not accrue credit for the time in which another gate owned the team.
 func TestNoCreditComesInWhileAnotherGateOwnsTheTeam(t *testing.T) {
 	l := newLedger()
 	c := limit.Cap{Rate: 10, Burst: 10}
-	granted(l, start, c, 100)
+	countGranted(l, start, c, 100)
 	l.SetOwned(start, func(string) bool { return false })
 	l.SetOwned(start.Add(time.Minute), func(string) bool { return true })
-	if got := granted(l, start.Add(time.Minute), c, 100); got != 0 {
-		t.Errorf("%d granted", got)
+	if got := countGranted(l, start.Add(time.Minute), c, 100); got != 0 {
+		t.Errorf("%d granted for the time in which another gate owned the team, want 0", got)
 	}
 }
 
-// Guards against a cap that an operator lowers or raises and that stays as it was.
+// A cap that an operator raises or lowers must take effect, and older routes must not undo
+// it.
 func TestACapOfNewerRoutesCounts(t *testing.T) {
 	l := newLedger()
 	c := limit.Cap{Rate: 10, Burst: 10}
-	granted(l, start, c, 100)
+	countGranted(l, start, c, 100)
 	l.SetOwned(start, func(string) bool { return true })
 	raised := limit.Ask{Team: "council", Cap: limit.Cap{Rate: 10, Burst: 40}, Version: 3}
-	most := 40 + 7 // the burst and its margin
+	most := 40 + 7 // burst and margin
 	if got := l.Take(start, raised, owner); got.Verdict != limit.Granted {
-		t.Errorf("%+v: a raised burst is there at once", got)
+		t.Errorf("%+v, want the raised burst to be available at once", got)
 	}
 	older := limit.Ask{Team: "council", Cap: limit.Cap{Rate: 1000, Burst: 1000}, Version: 2}
-	if got := granted(l, start, raised.Cap, 100); got > most {
-		t.Errorf("%d granted of the raised burst", got)
+	if got := countGranted(l, start, raised.Cap, 100); got > most {
+		t.Errorf("%d granted, more than the raised burst and its margin", got)
 	}
 	if got := l.Take(start, older, owner); got.Verdict != limit.OverCap {
-		t.Errorf("%+v: the cap of older routes counts", got)
+		t.Errorf("%+v with the cap of older routes, want OverCap", got)
 	}
 	lowered := limit.Ask{Team: "council", Cap: limit.Cap{Rate: 1, Burst: 1}, Version: 4}
 	l.Take(start, lowered, owner)
-	if got := granted(l, start.Add(time.Minute), lowered.Cap, 100); got > 1+5 {
-		t.Errorf("%d at once with a burst of 1 and a margin of a fifth of 20.6", got)
+	if got := countGranted(l, start.Add(time.Minute), lowered.Cap, 100); got > 1+5 {
+		t.Errorf("%d granted at once with a burst of 1 and a margin of 20.6 / 5", got)
 	}
 }
 
-// Guards against a request that did not run and still counts.
+// The credit of a request that did not run must be available again.
 func TestAReturnedCreditIsThereAgain(t *testing.T) {
 	l := newLedger()
 	c := limit.Cap{Rate: 0.001, Burst: 1}
-	granted(l, start, c, 5)
+	countGranted(l, start, c, 5)
 	l.Return("council")
-	if got := granted(l, start, c, 5); got != 1 {
-		t.Errorf("%d granted after one was returned", got)
+	if got := countGranted(l, start, c, 5); got != 1 {
+		t.Errorf("%d granted after one credit was returned, want 1", got)
 	}
 }
 
-// Guards against openings that add up: after a stop of all, each gate knows itself alone.
+// After all gates were down, each gate may know only itself. The initial credit of all gates
+// together must stay within the tolerance.
 func TestGatesThatKnowFewOthersOpenWithLittle(t *testing.T) {
 	const gates = 62
 	random := rand.New(rand.NewPCG(5, 6))
@@ -256,22 +262,22 @@
 	for range gates {
 		l := limit.NewLedger(tolerance, random)
 		for range 50 {
-			if l.Take(start, askFor(c), limit.Stance{Owned: true, Opening: 1.0 / gates}).Verdict == limit.Granted {
+			if l.Take(start, askFor(c), limit.Role{Owned: true, OpeningMargins: 1.0 / gates}).Verdict == limit.Granted {
 				total++
 			}
 		}
 	}
 	if most := 0.1*120 + 20; float64(total) > most {
-		t.Errorf("%d granted at once, the tolerance is %g", total, most)
+		t.Errorf("%d granted at once by all gates, the tolerance is %g", total, most)
 	}
 }
 
-// Guards against credit at the gates that costs memory for each team there ever was.
+// Accounts of teams that send no requests any more must not use memory forever.
 func TestAccountsThatNobodyAsksForAreForgotten(t *testing.T) {
 	l := newLedger()
 	l.Take(start, askFor(limit.Cap{Rate: 1, Burst: 1}), owner)
-	l.Forget(start.Add(time.Hour))
+	l.ExpireIdle(start.Add(time.Hour))
 	if left := l.Statuses(start.Add(time.Hour)); len(left) > 0 {
-		t.Errorf("still there: %+v", left)
+		t.Errorf("idle accounts were kept: %+v", left)
 	}
 }
