--- a/internal/gate/exchange/calls.go
+++ b/internal/gate/exchange/calls.go
@@ -13,107 +13,107 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// maxCallBytes bounds a call between gates.
+// maxCallBytes bounds the size of a call between gates.
 const maxCallBytes = 1 << 20
 
-// UsageRequest tells the gate To what another gate has on replicas that To
-// feeds with batch.
+// UsageRequest reports to the gate To what another gate runs on replicas that To owns.
 type UsageRequest struct {
 	To     string        `cbor:"1,keyasint"`
 	Usages []proxy.Usage `cbor:"2,keyasint"`
 }
 
-// UsageResponse gives the batch that is left on each replica.
+// UsageResponse returns the batch work that still runs on each replica.
 type UsageResponse struct {
-	Fed []upstream.Feeding `cbor:"1,keyasint"`
+	Batch []upstream.Feeding `cbor:"1,keyasint"`
 }
 
-// StrikesRequest spreads strikes. Relay asks the receiver to spread them in its
-// own place.
-type StrikesRequest struct {
+// CrashReportsRequest spreads crash reports. Relay asks the receiver to pass them on to
+// the other gates of its place.
+type CrashReportsRequest struct {
 	Service string            `cbor:"1,keyasint"`
-	Strikes []upstream.Strike `cbor:"2,keyasint"`
+	Reports []upstream.Strike `cbor:"2,keyasint"`
 	Relay   bool              `cbor:"3,keyasint"`
 }
 
-// StrikesResponse confirms that the strikes are known.
-type StrikesResponse struct{}
+// CrashReportsResponse acknowledges that the crash reports were applied.
+type CrashReportsResponse struct{}
 
 const (
-	usageProcedure   rpc.Procedure[UsageRequest, UsageResponse]     = "/slateway.gate/Usage"
-	strikesProcedure rpc.Procedure[StrikesRequest, StrikesResponse] = "/slateway.gate/Strikes"
+	usageProcedure        rpc.Procedure[UsageRequest, UsageResponse]               = "/slateway.gate/Usage"
+	crashReportsProcedure rpc.Procedure[CrashReportsRequest, CrashReportsResponse] = "/slateway.gate/Strikes"
 )
 
-// Mount adds the calls of other gates to mux.
+// Mount registers the procedures that other gates call on mux.
 func (e *Exchange) Mount(mux *http.ServeMux) {
 	rpc.Handle(mux, usageProcedure, maxCallBytes, e.serveUsage)
-	rpc.Handle(mux, strikesProcedure, maxCallBytes, e.serveStrikes)
+	rpc.Handle(mux, crashReportsProcedure, maxCallBytes, e.serveCrashReports)
 }
 
-// SendUsage carries usages to the gate that feeds the replicas.
+// SendUsage sends usages to the gate that owns the replicas.
 func (e *Exchange) SendUsage(ctx context.Context, gate string, usages []proxy.Usage) ([]upstream.Feeding, error) {
 	address, known := e.addressOf(gate)
 	if !known {
-		return nil, fmt.Errorf("no address of gate %s is known", gate)
+		return nil, fmt.Errorf("no peers address known for gate %s; it is neither a member of this place nor a contact of another", gate)
 	}
 	response, err := rpc.Call(ctx, e.options.Client, address, usageProcedure, &UsageRequest{To: gate, Usages: usages})
 	if err != nil {
 		return nil, err
 	}
-	return response.Fed, nil
+	return response.Batch, nil
 }
 
 func (e *Exchange) serveUsage(_ context.Context, request *UsageRequest) (*UsageResponse, error) {
-	return &UsageResponse{Fed: e.router.Yield(request.Usages)}, nil
+	return &UsageResponse{Batch: e.router.Yield(request.Usages)}, nil
 }
 
-// Spread tells the gates of the own place, and one gate of each other place
-// that passes them on, of strikes; it returns when they know or ctx has ended.
-func (e *Exchange) Spread(ctx context.Context, service string, strikes []upstream.Strike) {
-	request := StrikesRequest{Service: service, Strikes: strikes}
+// SpreadCrashReports sends crash reports to the gates of the own place and to one gate of
+// every other place, which relays them there. It returns when all have answered or ctx has
+// ended.
+func (e *Exchange) Spread(ctx context.Context, service string, reports []upstream.Strike) {
+	request := CrashReportsRequest{Service: service, Reports: reports}
 	var calls errgroup.Group
 	for _, address := range e.placeAddresses() {
-		calls.Go(func() error { return e.sendStrikes(ctx, address, request) })
+		calls.Go(func() error { return e.sendCrashReports(ctx, address, request) })
 	}
 	relayed := request
 	relayed.Relay = true
 	for _, contacts := range e.otherPlaces() {
-		calls.Go(func() error { return e.relayStrikes(ctx, contacts, relayed) })
+		calls.Go(func() error { return e.relayCrashReports(ctx, contacts, relayed) })
 	}
-	_ = calls.Wait() // a gate that was not reached learns of them by digest
+	_ = calls.Wait() // gates that were not reached receive them by digest
 }
 
-// relayStrikes sends to the first contact of a place that answers.
-func (e *Exchange) relayStrikes(ctx context.Context, contacts []string, request StrikesRequest) error {
+// relayCrashReports sends to the contacts of a place in turn until one answers.
+func (e *Exchange) relayCrashReports(ctx context.Context, contacts []string, request CrashReportsRequest) error {
 	var err error
 	for _, address := range contacts {
-		if err = e.sendStrikes(ctx, address, request); err == nil {
+		if err = e.sendCrashReports(ctx, address, request); err == nil {
 			return nil
 		}
 	}
 	return err
 }
 
-func (e *Exchange) sendStrikes(ctx context.Context, address string, request StrikesRequest) error {
-	_, err := rpc.Call(ctx, e.options.Client, address, strikesProcedure, &request)
+func (e *Exchange) sendCrashReports(ctx context.Context, address string, request CrashReportsRequest) error {
+	_, err := rpc.Call(ctx, e.options.Client, address, crashReportsProcedure, &request)
 	return err
 }
 
-func (e *Exchange) serveStrikes(ctx context.Context, request *StrikesRequest) (*StrikesResponse, error) {
-	e.router.Strike(request.Service, request.Strikes)
+func (e *Exchange) serveCrashReports(ctx context.Context, request *CrashReportsRequest) (*CrashReportsResponse, error) {
+	e.router.Strike(request.Service, request.Reports)
 	if !request.Relay {
-		return &StrikesResponse{}, nil
+		return &CrashReportsResponse{}, nil
 	}
-	onward := StrikesRequest{Service: request.Service, Strikes: request.Strikes}
+	onward := CrashReportsRequest{Service: request.Service, Reports: request.Reports}
 	var calls errgroup.Group
 	for _, address := range e.placeAddresses() {
-		calls.Go(func() error { return e.sendStrikes(ctx, address, onward) })
+		calls.Go(func() error { return e.sendCrashReports(ctx, address, onward) })
 	}
 	_ = calls.Wait()
-	return &StrikesResponse{}, nil
+	return &CrashReportsResponse{}, nil
 }
 
-// placeAddresses lists the peer addresses of the other gates of the place.
+// placeAddresses returns the peers addresses of the other gates of the place.
 func (e *Exchange) placeAddresses() []string {
 	var addresses []string
 	for _, m := range e.options.Fleet.Members() {
@@ -124,7 +124,7 @@
 	return addresses
 }
 
-// otherPlaces lists the contacts of each other place.
+// otherPlaces returns the peers addresses of the contacts of each other place.
 func (e *Exchange) otherPlaces() [][]string {
 	var places [][]string
 	for _, area := range e.options.Fleet.Areas() {
@@ -156,6 +156,6 @@
 	return "", false
 }
 
-// reachable reports whether a call to the VM may be answered: a suspect one may
-// only be slow, and must learn of strikes too.
+// reachable reports whether a call to the VM may succeed. A suspect VM may only be slow
+// and needs crash reports too.
 func reachable(m *member.Member) bool { return m.State == member.Alive || m.State == member.Suspect }
--- a/internal/gate/exchange/exchange.go
+++ b/internal/gate/exchange/exchange.go
@@ -1,10 +1,10 @@
-// Package exchange keeps the routing state of a gate in step with that of the
-// other gates: which replicas announced themselves where, their load, strikes
-// of requests that killed replicas, and what each gate runs on the replicas
-// that another one feeds with batch.
+// Package exchange synchronizes the routing state between gates: the replicas and the
+// gates they announce to, their load, reports of requests that crashed replicas, and what
+// each gate runs on replicas that another gate owns.
 //
-// Within a place digests travel on change. Between places of a region travels a
-// bounded selection of replicas that have room; strikes go everywhere.
+// Within a place, gates spread digests when something changes. The places of a region
+// exchange a bounded selection of replicas with free capacity; crash reports go to all
+// places.
 package exchange
 
 import (
@@ -23,7 +23,7 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// Fleet is what the exchange needs of membership.
+// Fleet is the part of the membership protocol that an Exchange uses.
 type Fleet interface {
 	Members() []member.Member
 	Areas() []member.PlaceArea
@@ -34,7 +34,7 @@
 	OnState(fn func(vm string, state member.State))
 }
 
-// Options are what an Exchange needs.
+// Options configures an Exchange.
 type Options struct {
 	VM     string
 	Place  string
@@ -43,28 +43,29 @@
 	Client *rpc.Client
 	Log    *zap.Logger
 
-	// ExpectedGates gives how many gates there are, if some may not be back after a
-	// stop of all; nil: it is not known.
+	// ExpectedGates returns the number of gates including those that have not returned since
+	// all gates were down; 0 or a nil function: unknown.
 	ExpectedGates func() int
 
-	// DirectLifetime is how long a replica counts as announced to this gate.
+	// DirectLifetime is how long after its last announcement a replica counts as announced
+	// to this gate.
 	DirectLifetime time.Duration
 }
 
-func (o *Options) expected() int {
+func (o *Options) expectedGates() int {
 	if o.ExpectedGates == nil {
 		return 0
 	}
 	return o.ExpectedGates()
 }
 
-// Exchange is one gate's side of the exchange. It is safe for concurrent use.
+// Exchange synchronizes one gate with the others. It is safe for concurrent use.
 type Exchange struct {
 	options Options
 	router  *proxy.Router
 
 	mu        sync.Mutex
-	direct    map[replicaKey]time.Time // replicas that announced to this gate, and when
+	direct    map[replicaKey]time.Time // last announcement of the replicas that announce to this gate
 	published published
 	lists     map[string]identityList // by VM, or by place and publisher
 	wake      chan struct{}
@@ -75,13 +76,13 @@
 	replica upstream.ReplicaID
 }
 
-// published is what was last spread of each kind.
+// published holds what was last spread of each kind.
 type published struct {
-	identity []byte // without what changes each second
-	listHash uint64 // of the list as spread
-	load     []byte
-	loadAt   time.Time
-	strikes  []byte
+	identity     []byte // without the fields that change every second
+	listHash     uint64 // hash of the list as spread
+	load         []byte
+	loadAt       time.Time
+	crashReports []byte
 
 	sumAt       time.Time
 	sumIdentity []byte
@@ -90,17 +91,17 @@
 }
 
 const (
-	// publishInterval is how often changes are looked for.
+	// publishInterval is how often Run checks for changes.
 	publishInterval = 100 * time.Millisecond
-	// loadInterval bounds how often a changed load is spread: at 13 replicas and
-	// 18 peers one digest a second is about 4 KB/s out and as much in.
+	// loadInterval is the minimum time between digests of a changed load. With 13 replicas
+	// and 18 peers, one digest per second takes about 4 KB/s in each direction.
 	loadInterval = time.Second
-	// gatesInterval is how often the live gates are read anew, beside changes of
+	// gatesInterval is how often the live gates are read, in addition to reads on changes of
 	// their state.
 	gatesInterval = time.Second
 )
 
-// New makes an Exchange; Attach gives it the router, Run keeps it going.
+// New creates an Exchange. Attach sets its router; Run spreads changes.
 func New(options Options) *Exchange {
 	return &Exchange{
 		options: options,
@@ -110,22 +111,22 @@
 	}
 }
 
-// Attach sets the router, which itself needs the exchange to be made.
+// Attach sets the router, which is created after the exchange because it depends on it.
 func (e *Exchange) Attach(router *proxy.Router) {
 	e.router = router
-	e.options.Fleet.OnDigest(fleet.KindUpstreams, e.takeList)
-	e.options.Fleet.OnDigest(fleet.KindLoad, e.takeRows)
-	e.options.Fleet.OnDigest(fleet.KindPoison, func(_ string, data []byte) { e.merge(data) })
-	// Both stay within the region: other regions are too far to serve an online
-	// request from here.
-	e.options.Fleet.OnSum(fleet.KindUpstreams, func(place, publisher string, data []byte) { e.takeList(place+"/"+publisher, data) })
-	e.options.Fleet.OnSum(fleet.KindLoad, func(place, publisher string, data []byte) { e.takeRows(place+"/"+publisher, data) })
-	e.options.Fleet.OnSum(fleet.KindPoison, func(_, _ string, data []byte) { e.merge(data) })
-	e.options.Fleet.OnState(func(string, member.State) { e.nudge() })
-	e.setGates()
-}
-
-// Announce takes in an announcement that a replica sent to this gate.
+	e.options.Fleet.OnDigest(fleet.KindUpstreams, e.receiveIdentities)
+	e.options.Fleet.OnDigest(fleet.KindLoad, e.receiveLoads)
+	e.options.Fleet.OnDigest(fleet.KindPoison, func(_ string, data []byte) { e.receiveCrashReports(data) })
+	// Digests of identities and loads stay within the region: other regions are too far away
+	// to serve an online request from here.
+	e.options.Fleet.OnSum(fleet.KindUpstreams, func(place, publisher string, data []byte) { e.receiveIdentities(place+"/"+publisher, data) })
+	e.options.Fleet.OnSum(fleet.KindLoad, func(place, publisher string, data []byte) { e.receiveLoads(place+"/"+publisher, data) })
+	e.options.Fleet.OnSum(fleet.KindPoison, func(_, _ string, data []byte) { e.receiveCrashReports(data) })
+	e.options.Fleet.OnState(func(string, member.State) { e.triggerPublish() })
+	e.updateGates()
+}
+
+// Announce applies an announcement that a replica sent to this gate.
 func (e *Exchange) Announce(a upstream.Announcement) error {
 	if err := e.router.Announce(a); err != nil {
 		return err
@@ -134,39 +135,39 @@
 	e.direct[replicaKey{a.Service, a.Replica}] = time.Now()
 	e.mu.Unlock()
 	if a.Leaving || !a.Ready {
-		e.nudge() // the other gates must stop sending to it at once
+		e.triggerPublish() // the other gates must stop sending to it at once
 	}
 	return nil
 }
 
-// Announcements take some 700 bytes of a gate's allowance each.
+// An announcement takes about 700 bytes of a gate's bandwidth.
 const (
-	leastAnnounceInterval = time.Second
-	announceIntervalPer   = 250 * time.Millisecond // for each replica that announces here
-	// announcesPerLifetime leaves room for a lost announcement.
+	minAnnounceInterval        = time.Second
+	announceIntervalPerReplica = 250 * time.Millisecond // for each replica that announces here
+	// announcesPerLifetime allows for a lost announcement.
 	announcesPerLifetime = 2
 )
 
-// AnnounceEvery gives how often a replica is to announce itself to this gate:
-// each second while few do, less often with more, so that the bytes of all stay
-// bounded. What cannot wait, readiness and leaving, replicas announce at once.
+// AnnounceEvery returns how often a replica should announce itself to this gate: every
+// second with few replicas, less often with more, so that the total bandwidth stays bounded.
+// Replicas announce changes of readiness and leaving at once.
 func (e *Exchange) AnnounceEvery() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	wanted := time.Duration(len(e.direct)) * announceIntervalPer
-	return max(leastAnnounceInterval, min(wanted, e.options.DirectLifetime/announcesPerLifetime))
+	wanted := time.Duration(len(e.direct)) * announceIntervalPerReplica
+	return max(minAnnounceInterval, min(wanted, e.options.DirectLifetime/announcesPerLifetime))
 }
 
-// CacheEvent passes a cache event on to the router; such hints are not spread.
+// CacheEvent passes a cache event to the router. Cache events are not spread.
 func (e *Exchange) CacheEvent(service string, event upstream.CacheEvent) {
 	e.router.CacheEvent(service, event)
 }
 
-// Upstreams lists the replicas that this gate knows.
+// Upstreams returns the replicas that this gate knows.
 func (e *Exchange) Upstreams() []proxy.Replica { return e.router.Upstreams() }
 
-// nudge makes Run look for changes now.
-func (e *Exchange) nudge() {
+// triggerPublish makes Run check for changes at once.
+func (e *Exchange) triggerPublish() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
@@ -189,19 +190,19 @@
 		}
 		if now := time.Now(); urgent || now.Sub(gatesAt) >= gatesInterval {
 			gatesAt = now
-			e.setGates()
+			e.updateGates()
 		}
 		e.publish(urgent)
 	}
 }
 
-// RunGates keeps the router's list of live gates current until ctx ends, and
-// spreads nothing: for a gate whose replicas announce themselves elsewhere.
+// RunGates keeps the router's list of live gates current until ctx ends without spreading
+// anything. It serves gates whose replicas announce themselves elsewhere.
 func (e *Exchange) RunGates(ctx context.Context) {
 	ticker := time.NewTicker(gatesInterval)
 	defer ticker.Stop()
 	for {
-		e.setGates()
+		e.updateGates()
 		select {
 		case <-ctx.Done():
 			return
@@ -211,9 +212,9 @@
 	}
 }
 
-// setGates tells the router which gates live: those of the own place, and the
-// contacts of other places, which pass usages on.
-func (e *Exchange) setGates() {
+// updateGates passes the live gates to the router: those of the own place, and the contacts
+// of other places, which relay usages.
+func (e *Exchange) updateGates() {
 	gates := []route.Gate{{ID: e.options.VM, Place: e.options.Place}}
 	for _, m := range e.options.Fleet.Members() {
 		if !m.Self && m.Serving() {
@@ -228,10 +229,10 @@
 			gates = append(gates, route.Gate{ID: entry.VM, Place: area.Place})
 		}
 	}
-	e.router.SetGates(gates, e.options.expected())
+	e.router.SetGates(gates, e.options.expectedGates())
 }
 
-func (e *Exchange) merge(data []byte) {
+func (e *Exchange) receiveCrashReports(data []byte) {
 	var digests []upstream.Digest
 	if e.decode(data, &digests) {
 		e.router.Merge(digests)
@@ -240,7 +241,7 @@
 
 func (e *Exchange) decode(data []byte, into any) bool {
 	if err := codec.Unmarshal(data, into); err != nil {
-		e.options.Log.Warn("digest of another gate not read", zap.Error(err))
+		e.options.Log.Warn("cannot decode digest of another gate", zap.Error(err))
 		return false
 	}
 	return true
--- a/internal/gate/exchange/exchange_test.go
+++ b/internal/gate/exchange/exchange_test.go
@@ -19,17 +19,17 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// patience is far above what a busy machine needs.
-const patience = 20 * time.Second
+// eventuallyTimeout is far above what a busy machine needs.
+const eventuallyTimeout = 20 * time.Second
 
-// wire hands what one exchange spreads to another one, and notes its size.
+// wire passes what one exchange spreads on to another exchange and keeps it for inspection.
 type wire struct {
 	mu      sync.Mutex
 	digests map[member.DigestKind]func(string, []byte)
 	sums    map[member.DigestKind]func(string, string, []byte)
 	last    map[member.DigestKind][]byte
 	to      *wire
-	lose    map[member.DigestKind]bool // digests that do not arrive
+	lose    map[member.DigestKind]bool // kinds whose digests are lost
 }
 
 func newWire() *wire {
@@ -82,7 +82,7 @@
 	w.to.digests[kind]("g1", data)
 }
 
-// start makes a gate: a real router and its exchange.
+// start creates a gate with a real router and its exchange.
 func start(t *testing.T, w *wire, vm, place string, lifetime time.Duration) (*exchange.Exchange, *proxy.Router) {
 	t.Helper()
 	router := proxy.New(proxy.Options{Self: vm, Place: place, Route: route.Config{EntryLifetime: lifetime}})
@@ -123,40 +123,40 @@
 	}
 }
 
-// A replica says to the one gate it announces to that it is busy, then that it
-// leaves. The other gate knows only what is spread; the list of replicas, lost
-// once, must not leave it without them, nor make it take rows for other ones.
+// Load and leaving of a replica must reach a gate that the replica does not announce to. If
+// the list of replicas is lost once, that gate must not apply load rows to other replicas,
+// and must know all replicas once the list is resent.
 func TestLoadsAndLeavingReachOtherGates(t *testing.T) {
 	g := NewWithT(t)
 	one, two := newWire(), newWire()
 	one.to = two
 	e, _ := start(t, one, "g1", "a", time.Hour)
 	_, other := start(t, two, "g2", "a", time.Hour)
-	clear(two.sums) // those are for other places
+	clear(two.sums) // sums are for other places only
 	one.setLost(fleet.KindUpstreams, true)
 	for i := range 3 {
 		g.Expect(e.Announce(announcement(i, 1))).To(Succeed())
 	}
 	run(t, e)
-	g.Eventually(func() int { one.mu.Lock(); defer one.mu.Unlock(); return len(one.last) }, patience).Should(BeNumerically(">=", 3))
+	g.Eventually(func() int { one.mu.Lock(); defer one.mu.Unlock(); return len(one.last) }, eventuallyTimeout).Should(BeNumerically(">=", 3))
 	g.Expect(other.Upstreams()).To(BeEmpty())
 
 	one.setLost(fleet.KindUpstreams, false)
-	one.resend(fleet.KindUpstreams) // as membership does when it finds the loss
+	one.resend(fleet.KindUpstreams) // as the membership protocol does on a loss
 	busy := announcement(1, 2)
 	busy.Running = 5
 	g.Expect(e.Announce(busy)).To(Succeed())
-	g.Eventually(row(other, 1), patience).Should(Equal(busy.Load))
+	g.Eventually(row(other, 1), eventuallyTimeout).Should(Equal(busy.Load))
 	g.Expect(row(other, 0)().Running).To(BeZero())
 
 	leaving := announcement(2, 2)
 	leaving.Leaving = true
 	g.Expect(e.Announce(leaving)).To(Succeed())
-	g.Eventually(row(other, 2), patience).Should(Equal(leaving.Load))
+	g.Eventually(row(other, 2), eventuallyTimeout).Should(Equal(leaving.Load))
 }
 
-// The loads of 13 replicas, a gate's share at the planned size, are what takes
-// most of the bytes between gates: 18 peers get them each second.
+// The loads of 13 replicas, a gate's share at the planned size, make up most of the bytes
+// between gates: 18 peers receive them every second.
 func TestLoadDigestIsSmall(t *testing.T) {
 	g := NewWithT(t)
 	one := newWire()
@@ -173,11 +173,12 @@
 		defer one.mu.Unlock()
 		return len(one.last[fleet.KindLoad])
 	}
-	g.Eventually(size, patience).Should(BeNumerically(">", 0))
+	g.Eventually(size, eventuallyTimeout).Should(BeNumerically(">", 0))
 	g.Expect(size()).To(BeNumerically("<=", 160))
 }
 
-// Another place hears of a bounded choice, by name, that stays while loads move.
+// Another place must receive a bounded selection of replicas that stays the same while their
+// loads change.
 func TestOtherPlacesGetABoundedChoice(t *testing.T) {
 	g := NewWithT(t)
 	one, two := newWire(), newWire()
@@ -190,7 +191,7 @@
 		g.Expect(e.Announce(busy)).To(Succeed())
 	}
 	one.mu.Lock()
-	two.digests[fleet.KindUpstreams] = func(string, []byte) {} // g2 is of another place
+	two.digests[fleet.KindUpstreams] = func(string, []byte) {} // g2 belongs to another place
 	two.digests[fleet.KindLoad] = func(string, []byte) {}
 	one.mu.Unlock()
 	run(t, e)
@@ -201,10 +202,10 @@
 		}
 		return list
 	}
-	g.Eventually(names, patience).Should(Equal([]string{"w16", "w17", "w18", "w19"}))
+	g.Eventually(names, eventuallyTimeout).Should(Equal([]string{"w16", "w17", "w18", "w19"}))
 	full := announcement(18, 2)
 	full.Running = 8
 	g.Expect(e.Announce(full)).To(Succeed())
-	g.Eventually(row(far, 2), patience).Should(Equal(full.Load))
+	g.Eventually(row(far, 2), eventuallyTimeout).Should(Equal(full.Load))
 	g.Expect(names()).To(HaveLen(4))
 }
--- a/internal/gate/exchange/publish.go
+++ b/internal/gate/exchange/publish.go
@@ -15,27 +15,27 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// Bounds of the replicas of a place that other places hear of. Each takes some
-// 280 bytes when the list changes and 8 each second.
+// Bounds on the replicas of a place that other places receive. Each replica takes about
+// 280 bytes when the list changes and 8 bytes every second.
 const (
 	maxSumReplicas   = 12
 	maxSumPerService = 4
 )
 
-// publish spreads what changed. An urgent change does not wait for the next
-// turn of the load.
+// publish spreads what has changed. With urgent set, the load does not wait for
+// loadInterval.
 func (e *Exchange) publish(urgent bool) {
 	known, _ := e.router.Digest(nil)
-	own := e.own(known)
+	own := e.announcedHere(known)
 	e.publishIdentity(own)
 	e.publishLoad(own, known, urgent)
-	e.publishStrikes(known)
+	e.publishCrashReports(known)
 	e.publishSum(known)
 }
 
-// own keeps of each digest the replicas that announce to this gate; the others
+// announcedHere filters the digests to the replicas that announce to this gate. The others
 // are spread by the gates that they announce to.
-func (e *Exchange) own(known []upstream.Digest) []upstream.Digest {
+func (e *Exchange) announcedHere(known []upstream.Digest) []upstream.Digest {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
@@ -59,8 +59,8 @@
 	return own
 }
 
-// publishIdentity spreads the replicas when one of them came, went or changed
-// in more than its load.
+// publishIdentity spreads the list of replicas when a replica was added or removed or more
+// than its load has changed.
 func (e *Exchange) publishIdentity(own []upstream.Digest) {
 	signature := codec.MustMarshal(withoutLoad(own))
 	e.mu.Lock()
@@ -90,12 +90,12 @@
 	return stripped
 }
 
-// publishLoad spreads the load of the own replicas and the batch that this gate
-// runs. The sequence of announcements rises even when the load stays, so the
-// digest also keeps the replicas from timing out at the other gates.
+// publishLoad spreads the load of the own replicas and the batch work of this gate. The
+// announcements' sequence numbers increase even if the load does not change, so the digest
+// also keeps the replicas from expiring at the other gates.
 func (e *Exchange) publishLoad(own, known []upstream.Digest, urgent bool) {
 	e.mu.Lock()
-	loads := encodeRows(e.published.listHash, own, known)
+	loads := encodeLoads(e.published.listHash, own, known)
 	due := urgent || time.Since(e.published.loadAt) >= loadInterval
 	if !due || bytes.Equal(loads, e.published.load) {
 		e.mu.Unlock()
@@ -107,17 +107,17 @@
 	e.setDigest(fleet.KindLoad, loads)
 }
 
-func (e *Exchange) publishStrikes(known []upstream.Digest) {
-	var strikes []upstream.Digest
+func (e *Exchange) publishCrashReports(known []upstream.Digest) {
+	var reports []upstream.Digest
 	for _, digest := range known {
 		if len(digest.Strikes) > 0 {
-			strikes = append(strikes, upstream.Digest{Service: digest.Service, Strikes: digest.Strikes})
+			reports = append(reports, upstream.Digest{Service: digest.Service, Strikes: digest.Strikes})
 		}
 	}
-	data := codec.MustMarshal(strikes)
+	data := codec.MustMarshal(reports)
 	e.mu.Lock()
-	same := bytes.Equal(data, e.published.strikes)
-	e.published.strikes = data
+	same := bytes.Equal(data, e.published.crashReports)
+	e.published.crashReports = data
 	e.mu.Unlock()
 	if same {
 		return
@@ -126,8 +126,8 @@
 	e.options.Fleet.SetSum(fleet.KindPoison, data)
 }
 
-// publishSum gives the other places of the region some replicas of this one and,
-// each second, their loads.
+// publishSum spreads a selection of this place's replicas to the other places of the region
+// and, every second, their loads.
 func (e *Exchange) publishSum(known []upstream.Digest) {
 	e.mu.Lock()
 	if time.Since(e.published.sumAt) < loadInterval {
@@ -135,7 +135,7 @@
 		return
 	}
 	e.published.sumAt = time.Now()
-	list := e.placeSum(known)
+	list := e.selectForOtherPlaces(known)
 	signature := codec.MustMarshal(withoutLoad(list))
 	changed := !bytes.Equal(signature, e.published.sumIdentity)
 	data := codec.MustMarshal(list)
@@ -143,7 +143,7 @@
 		e.published.sumIdentity = signature
 		e.published.sumHash = xxhash.Sum64(data)
 	}
-	rows := encodeRows(e.published.sumHash, list, nil)
+	rows := encodeLoads(e.published.sumHash, list, nil)
 	e.mu.Unlock()
 	if changed {
 		e.options.Fleet.SetSum(fleet.KindUpstreams, data)
@@ -151,12 +151,11 @@
 	e.options.Fleet.SetSum(fleet.KindLoad, rows)
 }
 
-// placeSum selects the replicas of the own place that other places may send to.
-// Those selected before stay while they are there, also when they get busy or
-// leave: their rows tell so, and a list that followed the load would be sent
-// anew each second. Free ones are added in order of their room. The caller
-// holds e.mu.
-func (e *Exchange) placeSum(known []upstream.Digest) []upstream.Digest {
+// selectForOtherPlaces selects the replicas of the own place that other places may use.
+// Selected replicas stay selected while they exist, even if they become busy or leave: their
+// load rows show that, and a list that followed the load would be resent every second.
+// Others are added in order of free capacity. The caller holds e.mu.
+func (e *Exchange) selectForOtherPlaces(known []upstream.Digest) []upstream.Digest {
 	var all []upstream.Announcement
 	for _, digest := range known {
 		for _, a := range digest.Identity {
@@ -170,11 +169,11 @@
 	}
 	slices.SortStableFunc(all, func(a, b upstream.Announcement) int {
 		if selected(&a) != selected(&b) {
-			return cmp.Compare(rank(selected(&a)), rank(selected(&b)))
+			return cmp.Compare(sortRank(selected(&a)), sortRank(selected(&b)))
 		}
 		return cmp.Compare(a.Running+a.Queued-a.Slots, b.Running+b.Queued-b.Slots)
 	})
-	all = boundSum(all, selected)
+	all = limitSelection(all, selected)
 	slices.SortFunc(all, func(a, b upstream.Announcement) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Replica, b.Replica))
 	})
@@ -185,16 +184,16 @@
 	return byService(all)
 }
 
-func rank(selected bool) int {
+func sortRank(selected bool) int {
 	if selected {
 		return 0
 	}
 	return 1
 }
 
-// boundSum keeps the first usable replicas of each service, and those selected
-// before that are usable no more, so that the other places learn it.
-func boundSum(all []upstream.Announcement, selected func(*upstream.Announcement) bool) []upstream.Announcement {
+// limitSelection keeps the first usable replicas of each service. It also keeps selected
+// replicas that are no longer usable, so that the other places learn of it.
+func limitSelection(all []upstream.Announcement, selected func(*upstream.Announcement) bool) []upstream.Announcement {
 	var kept []upstream.Announcement
 	count := map[string]int{}
 	for _, a := range all {
@@ -225,6 +224,6 @@
 
 func (e *Exchange) setDigest(kind member.DigestKind, data []byte) {
 	if err := e.options.Fleet.SetDigest(kind, data); err != nil {
-		e.options.Log.Warn("digest not spread", zap.Uint8("kind", uint8(kind)), zap.Error(err))
+		e.options.Log.Warn("cannot spread digest to the other gates", zap.Uint8("kind", uint8(kind)), zap.Error(err))
 	}
 }
--- a/internal/gate/exchange/rows.go
+++ b/internal/gate/exchange/rows.go
@@ -7,14 +7,13 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// loads is the digest of what changes each second: one row for each replica of
-// the list of identities that List is the hash of, in the order of that list.
-// A row of numbers takes about 8 bytes, one with the names of the replica and of
-// its fields 84.
-type loads struct {
-	List uint64    `cbor:"1,keyasint"`
-	Rows []loadRow `cbor:"2,keyasint,omitempty"`
-	Fed  []fedRow  `cbor:"3,keyasint,omitempty"`
+// loadDigest carries what changes every second: one row for each replica in the list of
+// identities with hash List, in the order of that list. A row of numbers takes about 8
+// bytes; with the replica's name and field names it would take 84.
+type loadDigest struct {
+	List       uint64    `cbor:"1,keyasint"`
+	Rows       []loadRow `cbor:"2,keyasint,omitempty"`
+	OwnedBatch []fedRow  `cbor:"3,keyasint,omitempty"`
 }
 
 type loadRow struct {
@@ -31,9 +30,9 @@
 	flagLeaving uint8 = 2
 )
 
-// fedRow tells the batch that the sending gate runs on a replica that it feeds.
-// Service and replica are named by hashes; two of a place's few hundred replicas
-// that share both make the other gates misjudge the batch on one, no more.
+// fedRow is the batch work that the sending gate runs on a replica that it owns. Service
+// and replica are identified by short hashes. If two of a place's few hundred replicas
+// collide in both, the other gates only misjudge the batch work on one of them.
 type fedRow struct {
 	_       struct{} `cbor:",toarray"`
 	Service uint32
@@ -54,8 +53,8 @@
 	return row
 }
 
-// with brings a, as it was when its list was spread, up to date.
-func (r *loadRow) with(a upstream.Announcement) upstream.Announcement {
+// applyTo returns a, taken from the list as spread, with the row's values.
+func (r *loadRow) applyTo(a upstream.Announcement) upstream.Announcement {
 	a.Sequence = r.Sequence
 	a.Running = r.Running
 	a.Queued = r.Queued
@@ -64,7 +63,7 @@
 	return a
 }
 
-// rowsOf gives the rows of a list.
+// rowsOf returns the load rows of a list.
 func rowsOf(list []upstream.Digest) []loadRow {
 	var rows []loadRow
 	for _, digest := range list {
@@ -75,8 +74,8 @@
 	return rows
 }
 
-// feedingOf gives the batch that this gate runs, of all services.
-func feedingOf(known []upstream.Digest) []fedRow {
+// ownedBatchRows returns the batch work of this gate for all services.
+func ownedBatchRows(known []upstream.Digest) []fedRow {
 	var rows []fedRow
 	for _, digest := range known {
 		for _, f := range digest.Feeding {
@@ -92,8 +91,8 @@
 	list []upstream.Digest
 }
 
-// takeList takes in a list of identities.
-func (e *Exchange) takeList(sender string, data []byte) {
+// receiveIdentities applies a sender's list of identities.
+func (e *Exchange) receiveIdentities(sender string, data []byte) {
 	var list []upstream.Digest
 	if !e.decode(data, &list) {
 		return
@@ -104,11 +103,11 @@
 	e.router.Merge(list)
 }
 
-// takeRows takes in the loads of a sender's list. It merges whole announcements,
-// not loads alone: a replica that timed out here while its gate was out of reach
-// is back with the first load.
-func (e *Exchange) takeRows(sender string, data []byte) {
-	var l loads
+// receiveLoads applies the loads for a sender's list. It merges whole announcements, so
+// that a replica that expired here while its gate was unreachable returns with the first
+// load.
+func (e *Exchange) receiveLoads(sender string, data []byte) {
+	var l loadDigest
 	if !e.decode(data, &l) {
 		return
 	}
@@ -116,27 +115,27 @@
 	known := e.lists[sender]
 	e.mu.Unlock()
 	if known.hash != l.List {
-		return // the list is on its way
+		return // the list has not arrived yet
 	}
 	rows := l.Rows
 	var updated []upstream.Digest
 	for _, digest := range known.list {
 		if len(rows) < len(digest.Identity) {
-			return // not of this list after all
+			return // the rows do not match the list
 		}
 		merged := upstream.Digest{Service: digest.Service, Identity: make([]upstream.Announcement, len(digest.Identity))}
 		for i := range digest.Identity {
-			merged.Identity[i] = rows[i].with(digest.Identity[i])
+			merged.Identity[i] = rows[i].applyTo(digest.Identity[i])
 		}
 		rows = rows[len(digest.Identity):]
 		updated = append(updated, merged)
 	}
 	e.router.Merge(updated)
-	e.takeFed(l.Fed)
+	e.applyOwnedBatch(l.OwnedBatch)
 }
 
-// takeFed finds the replicas that the rows mean.
-func (e *Exchange) takeFed(rows []fedRow) {
+// applyOwnedBatch resolves the rows to replicas and updates their batch work.
+func (e *Exchange) applyOwnedBatch(rows []fedRow) {
 	if len(rows) == 0 {
 		return
 	}
@@ -152,6 +151,6 @@
 	}
 }
 
-func encodeRows(listHash uint64, list, feeding []upstream.Digest) []byte {
-	return codec.MustMarshal(loads{List: listHash, Rows: rowsOf(list), Fed: feedingOf(feeding)})
+func encodeLoads(listHash uint64, list, owned []upstream.Digest) []byte {
+	return codec.MustMarshal(loadDigest{List: listHash, Rows: rowsOf(list), OwnedBatch: ownedBatchRows(owned)})
 }
--- a/internal/gate/orders/calls.go
+++ b/internal/gate/orders/calls.go
@@ -14,13 +14,13 @@
 	"slateway.example/slateway/internal/order"
 )
 
-// pathOrders takes orders by POST and gives the engine's state by GET.
+// pathOrders accepts orders by POST and returns the engine's state by GET.
 const pathOrders = "/v1/orders"
 
-// maxStateBytes bounds an engine's answer.
+// maxStateBytes bounds an engine's response body.
 const maxStateBytes = 1 << 20
 
-// orderBody is the body of an order.
+// orderBody is the request body of an order.
 type orderBody struct {
 	Fence uint64    `json:"fence"`
 	Order orderJSON `json:"order"`
@@ -34,7 +34,7 @@
 	Role    string     `json:"role,omitempty"`
 }
 
-// stateJSON is an engine's state.
+// stateJSON is the state of an engine.
 type stateJSON struct {
 	Fence    uint64      `json:"fence"`
 	Models   []modelJSON `json:"models"`
@@ -55,52 +55,52 @@
 	return state
 }
 
-// carryOut does one action and tells the decision how it ended. An order that
-// cannot be sent in time is dropped: after the lease another gate orders.
-func (s *Shell) carryOut(ctx context.Context, action *order.Action) {
+// execute performs one action and passes the result to the orderer. An action that cannot
+// be sent before NotAfter is dropped: after the lease, another gate may send orders.
+func (s *Shell) execute(ctx context.Context, action *order.Action) {
 	address, known := s.addressOf(action.Engine)
 	if !known || !time.Now().Before(action.NotAfter) {
 		return
 	}
-	// An order is waited for as long as it may take; its answer may come after
-	// the lease, which only the sending must not.
-	ctx, cancel := context.WithTimeout(ctx, s.timeout(action))
+	// The timeout covers the longest order. Only the sending must happen within the lease;
+	// the response may arrive after it.
+	ctx, cancel := context.WithTimeout(ctx, s.callTimeout(action))
 	defer cancel()
 	state, refused, err := s.call(ctx, address, action)
 	if err != nil {
-		s.failed(action, refused, err)
+		s.handleFailure(action, refused, err)
 		return
 	}
 	if action.Read {
-		s.with(action.Engine, func(o *order.Orderer) { o.ReadBack(action.Engine, state) })
+		s.withOrderer(action.Engine, func(o *order.Orderer) { o.ReadBack(action.Engine, state) })
 		return
 	}
 	s.options.Metrics.Count(countSent)
-	s.options.Log.Info("engine ordered", zap.String("engine", action.Engine), zap.String("kind", string(action.Order.Kind)),
+	s.options.Log.Info("engine answered order", zap.String("engine", action.Engine), zap.String("kind", string(action.Order.Kind)),
 		zap.String("model", action.Order.Model.Name), zap.String("version", action.Order.Model.Version), zap.Uint64("fence", action.Fence))
-	s.with(action.Engine, func(o *order.Orderer) { o.Answered(action.Engine, state) })
+	s.withOrderer(action.Engine, func(o *order.Orderer) { o.Answered(action.Engine, state) })
 }
 
-func (s *Shell) timeout(action *order.Action) time.Duration {
+func (s *Shell) callTimeout(action *order.Action) time.Duration {
 	if action.Read || s.options.Order.LongestOrder == 0 {
 		return max(time.Until(action.NotAfter), s.options.Step)
 	}
 	return s.options.Order.LongestOrder
 }
 
-func (s *Shell) failed(action *order.Action, refused bool, err error) {
+func (s *Shell) handleFailure(action *order.Action, refused bool, err error) {
 	name := countFailed
 	if refused {
 		name = countRefused
 	}
 	s.options.Metrics.Count(name)
-	s.options.Log.Warn("engine not ordered or read", zap.String("engine", action.Engine), zap.String("kind", string(action.Order.Kind)),
+	s.options.Log.Warn("cannot send an order to the engine or read its state", zap.String("engine", action.Engine), zap.String("kind", string(action.Order.Kind)),
 		zap.Bool("refused", refused), zap.Error(err))
-	s.with(action.Engine, func(o *order.Orderer) { o.Failed(action.Engine, refused) })
+	s.withOrderer(action.Engine, func(o *order.Orderer) { o.Failed(action.Engine, refused) })
 }
 
-// call sends the action. Refused means that the engine answered that it did not
-// carry the order out.
+// call sends the action. refused is true if the engine answered that it did not carry out
+// the order.
 func (s *Shell) call(ctx context.Context, address string, action *order.Action) (state order.State, refused bool, err error) {
 	request, err := newRequest(ctx, address, action)
 	if err != nil {
@@ -117,7 +117,7 @@
 	}
 	if response.StatusCode != http.StatusOK {
 		refused = response.StatusCode < http.StatusInternalServerError
-		return order.State{}, refused, fmt.Errorf("engine answered %s: %s", response.Status, data)
+		return order.State{}, refused, fmt.Errorf("engine answered with status %s: %s", response.Status, data)
 	}
 	var parsed stateJSON
 	err = json.Unmarshal(data, &parsed)
@@ -142,7 +142,7 @@
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err == nil {
 		request.Header.Set("Content-Type", "application/json")
-		request.GetBody = nil // an order is never sent twice by the transport
+		request.GetBody = nil // prevents the transport from sending an order twice
 	}
 	return request, err
 }
--- a/internal/gate/orders/shell.go
+++ b/internal/gate/orders/shell.go
@@ -1,6 +1,7 @@
-// Package orders keeps the model engines of a place as the teams' templates ask:
-// one gate of the place holds the right to order them, under a fencing number,
-// reads them back and sends what package order decides.
+// Package orders brings the model engines of a place into the state that the teams'
+// templates ask for. One gate of the place at a time holds the tenure to order them, under
+// a fencing number; it reads the engines' states and sends the orders that package order
+// decides on.
 package orders
 
 import (
@@ -18,23 +19,23 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// Keepers grant the right to order.
+// Keepers grants the tenure to order engines.
 type Keepers interface {
 	AcquireTenure(ctx context.Context, name, holder string) (*keeperapi.TenureResponse, error)
 	LeaveTenure(ctx context.Context, name, holder string) error
 }
 
-// Policies lists what the teams ask for.
+// Policies provides the teams' policies.
 type Policies interface {
 	Policies() []*team.Policy
 }
 
-// Router knows the engines.
+// Router provides the known engines.
 type Router interface {
 	Upstreams() []proxy.Replica
 }
 
-// Metrics counts what was ordered.
+// Metrics counts the orders by outcome.
 type Metrics interface {
 	Count(name string)
 }
@@ -46,10 +47,10 @@
 	countFailed  = "orders.failed"
 )
 
-// Options are what a Shell needs.
+// Options configures a Reconciler.
 type Options struct {
 	Place    string
-	Holder   string // names this run of the gate
+	Holder   string // identifies this process of the gate
 	Keepers  Keepers
 	Policies Policies
 	Router   Router
@@ -58,100 +59,100 @@
 	Log      *zap.Logger
 
 	Order       order.Config
-	Step        time.Duration // pace of decisions and renewals
-	WeightBytes int           // of one model, for the weight store's rate
-	MaxModels   int           // that fit beside each other in an engine
+	Step        time.Duration // interval between decisions and between renewals of the tenure
+	WeightBytes int           // size of one model, to keep to the rate limit of the weight store
+	MaxModels   int           // number of models that fit into an engine together
 }
 
-// Shell orders the engines of a place while it holds the right to. It is safe
-// for concurrent use.
+// Reconciler orders the engines of a place while it holds the tenure. It is safe for
+// concurrent use.
 type Shell struct {
 	options Options
 
 	mu       sync.Mutex
-	services map[string]*order.Orderer // by service: a model runs on its own service's engines
+	services map[string]*order.Orderer // by service: a model runs only on engines of its own service
 	engines  map[string]knownEngine    // by replica
 }
 
-// knownEngine is where an engine is ordered.
+// knownEngine is the service and the address of an engine.
 type knownEngine struct {
 	service string
 	address string
 }
 
-// New makes a Shell.
+// New creates a Reconciler.
 func New(options Options) *Shell {
 	return &Shell{options: options, services: make(map[string]*order.Orderer), engines: make(map[string]knownEngine)}
 }
 
-// rightPrefix begins the name of the right to order a place's engines.
-const rightPrefix = "orders/"
+// tenurePrefix is the prefix of the name of a place's tenure.
+const tenurePrefix = "orders/"
 
-// Run renews the right and orders until ctx ends; then it gives the right up.
+// Run renews the tenure and sends orders until ctx ends, then releases the tenure.
 func (s *Shell) Run(ctx context.Context) {
 	ticker := time.NewTicker(s.options.Step)
 	defer ticker.Stop()
 	var calls sync.WaitGroup
 	for ctx.Err() == nil {
-		s.round(ctx, &calls)
+		s.runRound(ctx, &calls)
 		select {
 		case <-ctx.Done():
 		case <-ticker.C:
 		}
 	}
 	calls.Wait()
-	leaving, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaveTimeout)
+	releaseCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer cancel()
-	if err := s.options.Keepers.LeaveTenure(leaving, rightPrefix+s.options.Place, s.options.Holder); err != nil {
-		s.options.Log.Info("right to order not given up, it runs out", zap.Error(err))
+	if err := s.options.Keepers.LeaveTenure(releaseCtx, tenurePrefix+s.options.Place, s.options.Holder); err != nil {
+		s.options.Log.Info("cannot release the tenure to order engines; it ends with its lease", zap.Error(err))
 	}
 }
 
 const (
-	// leaveTimeout bounds giving the right up at shutdown.
-	leaveTimeout = 2 * time.Second
-	// acquireTimeout bounds one renewal.
+	// releaseTimeout bounds the release of the tenure at shutdown.
+	releaseTimeout = 2 * time.Second
+	// acquireTimeout bounds one renewal of the tenure.
 	acquireTimeout = 3 * time.Second
 )
 
-func (s *Shell) round(ctx context.Context, calls *sync.WaitGroup) {
-	asking, cancel := context.WithTimeout(ctx, acquireTimeout)
+func (s *Shell) runRound(ctx context.Context, calls *sync.WaitGroup) {
+	acquireCtx, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
-	// The lease counts from here: counted from the answer it could outlast the
-	// keepers' own count, after which another gate orders.
-	asked := time.Now()
-	response, err := s.options.Keepers.AcquireTenure(asking, rightPrefix+s.options.Place, s.options.Holder)
+	// The lease is counted from the request. Counted from the response, it could outlast the
+	// keepers' count, after which another gate may send orders.
+	requestedAt := time.Now()
+	response, err := s.options.Keepers.AcquireTenure(acquireCtx, tenurePrefix+s.options.Place, s.options.Holder)
 	if err != nil || response.Fence == 0 {
 		return
 	}
-	tenure := order.Tenure{Fence: response.Fence, Since: time.Now(), Until: asked.Add(response.Lease)}
+	tenure := order.Tenure{Fence: response.Fence, Since: time.Now(), Until: requestedAt.Add(response.Lease)}
 	for _, action := range s.decide(tenure) {
-		calls.Go(func() { s.carryOut(ctx, &action) })
+		calls.Go(func() { s.execute(ctx, &action) })
 	}
 }
 
-// decide takes in what is known now and gives what to do.
+// decide updates the orderers from the current state and returns the actions to execute.
 func (s *Shell) decide(tenure order.Tenure) []order.Action {
 	replicas := s.options.Router.Upstreams()
-	wants := wantsOf(s.options.Policies.Policies(), s.options.WeightBytes)
+	wants := collectWants(s.options.Policies.Policies(), s.options.WeightBytes)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.announce(replicas)
+	s.updateEngines(replicas)
 	var actions []order.Action
 	for service, orderer := range s.services {
 		orderer.Grant(tenure)
-		orderer.SetWants(withDemand(wants[service], service, replicas))
+		orderer.SetWants(addDemand(wants[service], service, replicas))
 		actions = append(actions, orderer.Step(time.Now())...)
 		for _, blocked := range orderer.Blocked() {
-			s.options.Log.Debug("want not met", zap.String("model", blocked.Model.Name),
+			s.options.Log.Debug("model version not yet provided as wanted", zap.String("model", blocked.Model.Name),
 				zap.String("version", blocked.Model.Version), zap.String("why", blocked.Reason))
 		}
 	}
 	return actions
 }
 
-// announce brings the orderers' engines up to date.
-func (s *Shell) announce(replicas []proxy.Replica) {
+// updateEngines passes the engines of the place to their orderers and removes lost ones.
+func (s *Shell) updateEngines(replicas []proxy.Replica) {
 	seen := make(map[string]bool)
 	for i := range replicas {
 		replica := &replicas[i]
@@ -161,7 +162,7 @@
 		name := string(replica.Replica)
 		seen[name] = true
 		s.engines[name] = knownEngine{service: replica.Service, address: replica.Address}
-		s.orderer(replica.Service).Announce(order.Engine{
+		s.ordererOf(replica.Service).Announce(order.Engine{
 			Name:          name,
 			Incarnation:   replica.Incarnation,
 			Ready:         replica.Ready && !replica.Suspect,
@@ -175,13 +176,13 @@
 	}
 	for name, engine := range s.engines {
 		if !seen[name] {
-			s.orderer(engine.service).Remove(name)
+			s.ordererOf(engine.service).Remove(name)
 			delete(s.engines, name)
 		}
 	}
 }
 
-func (s *Shell) orderer(service string) *order.Orderer {
+func (s *Shell) ordererOf(service string) *order.Orderer {
 	orderer := s.services[service]
 	if orderer == nil {
 		orderer = order.New(s.options.Order)
@@ -190,8 +191,8 @@
 	return orderer
 }
 
-// with runs fn with the orderer of an engine that is still known.
-func (s *Shell) with(engine string, fn func(*order.Orderer)) {
+// withOrderer calls fn with the orderer of an engine if the engine is still known.
+func (s *Shell) withOrderer(engine string, fn func(*order.Orderer)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if known, found := s.engines[engine]; found {
--- a/internal/gate/orders/wants.go
+++ b/internal/gate/orders/wants.go
@@ -10,13 +10,12 @@
 	"slateway.example/slateway/internal/team"
 )
 
-// minReplicas is how many replicas of a wanted version a place keeps without
-// any demand.
+// minReplicas is how many replicas of a wanted version a place keeps without demand.
 const minReplicas = 1
 
-// wantsOf lists by service the model versions that teams ask for. A template
-// that names no version leaves the engines as they are.
-func wantsOf(policies []*team.Policy, weightBytes int) map[string][]order.Want {
+// collectWants returns the model versions that teams ask for, by service. Models without a
+// version leave the engines as they are.
+func collectWants(policies []*team.Policy, weightBytes int) map[string][]order.Want {
 	models := make(map[string]map[order.Model]struct{})
 	for _, policy := range policies {
 		for _, model := range policy.Models {
@@ -42,19 +41,18 @@
 	return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Version, b.Version))
 }
 
-// withDemand adds the slots in use and the requests in engines' queues. An
-// engine does not report which of its models they are for, so its load is
-// divided among those of its models that are wanted. Load on versions that no
-// team wants any more counts for the wanted versions of the same model: their
-// callers are moving over.
-func withDemand(wants []order.Want, service string, replicas []proxy.Replica) []order.Want {
+// addDemand sets the demand of each want: slots in use plus requests in the engines' queues.
+// An engine does not report its load by model, so the load is divided equally among the
+// wanted models that it serves. Load on versions that no team wants any more counts for the
+// wanted versions of the same model, because its callers are about to move to them.
+func addDemand(wants []order.Want, service string, replicas []proxy.Replica) []order.Want {
 	demand := make([]float64, len(wants))
 	for i := range replicas {
 		replica := &replicas[i]
 		if replica.Service != service {
 			continue
 		}
-		served := servedBy(wants, replica)
+		served := wantsServedBy(wants, replica)
 		for _, at := range served {
 			demand[at] += float64(replica.Running+replica.Queued) / float64(len(served))
 		}
@@ -65,7 +63,7 @@
 	return wants
 }
 
-func servedBy(wants []order.Want, replica *proxy.Replica) []int {
+func wantsServedBy(wants []order.Want, replica *proxy.Replica) []int {
 	var served []int
 	for at := range wants {
 		for _, model := range replica.Models {
