--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,5 +1,5 @@
-// Package directory decides which gates callers are told to use, and when a
-// gate that goes away may stop. Time and randomness are inputs.
+// Package directory selects the gates that callers should use, and decides when a draining
+// gate may stop. It receives time and randomness as arguments.
 package directory
 
 import (
@@ -16,69 +16,70 @@
 	"slateway.example/slateway/internal/member"
 )
 
-// ReasonNoGate is the reason of an answer without any gate.
+// ReasonNoGate is the reason of the error returned when no gate serves callers.
 const ReasonNoGate apierr.Reason = "no_gate"
 
-// Entry is one gate that a caller may use.
+// Entry is a gate that a caller may use.
 type Entry struct {
 	VM      string
 	Place   string
 	Address string // IP:port for callers
 }
 
-// Answer tells a caller which gates to use, best first.
+// Answer lists the gates for a caller, best first.
 type Answer struct {
 	Entries  []Entry
-	Lifetime time.Duration // how long the caller may keep the answer
-	Revision uint64        // grows when the set of gates to choose from changes
+	Lifetime time.Duration // how long the caller may cache the answer
+	Revision uint64        // increases when the set of available gates changes
 }
 
-// GateLoad is the digest by which a gate tells its load to its place.
+// GateLoad is the digest by which a gate reports its load to the gates of its place.
 type GateLoad struct {
-	InProgress int `cbor:"1,keyasint"` // requests running
-	Capacity   int `cbor:"2,keyasint"` // requests that it takes at once
+	InProgress int `cbor:"1,keyasint"` // running requests
+	Capacity   int `cbor:"2,keyasint"` // maximum number of concurrent requests
 }
 
-// Encode gives the digest's bytes.
+// Encode returns the digest as CBOR.
 func (l GateLoad) Encode() []byte { return codec.MustMarshal(l) }
 
-// leastWeight keeps a full or unknown gate in the draw: it may have room by
-// the time the caller connects.
-const leastWeight = 0.05
+// minWeight keeps a full gate in the draw, because it may have free capacity when the
+// caller connects.
+const minWeight = 0.05
 
-// free gives the share of the capacity that is not in use.
-func (l GateLoad) free() float64 {
+// freeShare returns the fraction of the capacity that is not in use, at least minWeight; 1 if
+// the capacity is unknown.
+func (l GateLoad) freeShare() float64 {
 	if l.Capacity <= 0 {
 		return 1
 	}
-	return max(leastWeight, 1-float64(l.InProgress)/float64(l.Capacity))
+	return max(minWeight, 1-float64(l.InProgress)/float64(l.Capacity))
 }
 
-// Input is what an answer is made from.
+// Input is the state from which an answer is made.
 type Input struct {
-	Serving     bool   // this gate itself may be listed: it is not alone and holds a configuration lease
-	CallerPlace string // the caller's place; this gate's own if empty
+	Serving     bool   // this gate may be listed: it is not isolated and holds a configuration lease
+	CallerPlace string // the caller's place; empty: this gate's own place
 	Members     []member.Member
 	Areas       []member.PlaceArea
 	Load        member.DigestKind // kind of the GateLoad digest
 	Lifetime    time.Duration
-	Limit       int // entries at most
+	Limit       int // maximum number of entries
 }
 
-// Directory makes answers. It is not safe for concurrent use.
+// Directory makes answers for callers. It is not safe for concurrent use.
 type Directory struct {
 	random   *rand.Rand
 	revision uint64
 	set      uint64 // hash of the candidates' addresses
 }
 
-// New makes a Directory. Started is the gate's start in ms since 1970, so that
-// revisions grow across restarts too.
+// New creates a Directory. started is the start time of the gate in ms since 1970, which
+// makes revisions increase across restarts.
 func New(started uint64, random *rand.Rand) *Directory {
 	return &Directory{random: random, revision: started}
 }
 
-// tier orders candidates before their load does.
+// tier ranks candidates by location, before their load.
 type tier int
 
 const (
@@ -88,17 +89,17 @@
 	otherRegion
 )
 
-// candidate is a gate with its position in the draw.
+// candidate is a gate with its sort keys.
 type candidate struct {
 	entry Entry
 	tier  tier
 	key   float64
 }
 
-// Decide makes an answer: gates of the caller's place first, then this gate's
-// own, then the region's; in each place they are drawn by free capacity. Gates
-// of other regions are named only if there is no other. A gate that is suspect,
-// draining or lost is not named, nor is any gate of a place that is cut off.
+// Decide returns the gates of the caller's place first, then those of this gate's own place,
+// then those of the region, drawn within a place at random by free capacity. Gates of other
+// regions are listed only if there are no others. Suspect, draining and lost gates and the
+// gates of stale places are never listed.
 func (d *Directory) Decide(input Input) (Answer, error) {
 	candidates := d.candidates(input)
 	if len(candidates) == 0 {
@@ -111,7 +112,7 @@
 	if candidates[0].tier < otherRegion {
 		candidates = slices.DeleteFunc(candidates, func(c candidate) bool { return c.tier == otherRegion })
 	}
-	d.countRevision(candidates)
+	d.updateRevision(candidates)
 	answer := Answer{Lifetime: input.Lifetime, Revision: d.revision}
 	for _, c := range candidates[:min(input.Limit, len(candidates))] {
 		answer.Entries = append(answer.Entries, c.entry)
@@ -130,7 +131,7 @@
 			continue
 		}
 		entry := Entry{VM: m.VM.Name, Place: m.VM.Place, Address: m.VM.Callers}
-		candidates = append(candidates, candidate{entry, tierOf(input, entry.Place, ownPlace), d.drawKey(loadOf(m, input.Load).free())})
+		candidates = append(candidates, candidate{entry, tierOf(input, entry.Place, ownPlace), d.drawKey(loadOf(m, input.Load).freeShare())})
 	}
 	for _, area := range input.Areas {
 		if area.Stale {
@@ -155,8 +156,8 @@
 	return otherwise
 }
 
-// drawKey gives the sort key of a weighted draw without replacement: sorting by
-// it is the same as drawing one gate after the other by weight.
+// drawKey returns the sort key for a weighted draw without replacement: sorting by it is
+// equivalent to drawing the gates one by one by weight.
 func (d *Directory) drawKey(weight float64) float64 {
 	return -math.Log(1-d.random.Float64()) / weight
 }
@@ -165,15 +166,15 @@
 	var load GateLoad
 	for _, digest := range m.Digests {
 		if digest.Kind == kind {
-			_ = codec.Unmarshal(digest.Data, &load) // an unreadable load counts as none
+			_ = codec.Unmarshal(digest.Data, &load) // an undecodable load counts as unknown
 		}
 	}
 	return load
 }
 
-// countRevision raises the revision when the candidates differ from the last.
-// The hash is of a set: the order is drawn anew for each caller.
-func (d *Directory) countRevision(candidates []candidate) {
+// updateRevision increases the revision when the set of candidates has changed. The hash does
+// not depend on their order, which is drawn for each caller.
+func (d *Directory) updateRevision(candidates []candidate) {
 	var set uint64
 	for _, c := range candidates {
 		set ^= xxhash.Sum64String(c.entry.Address)
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -12,14 +12,14 @@
 	"slateway.example/slateway/internal/member"
 )
 
-const loadKind member.DigestKind = 6
+const loadDigestKind member.DigestKind = 6
 
 func gate(name string, state member.State, draining bool, load directory.GateLoad) member.Member {
 	return member.Member{
 		Self: name == "a1",
 		Record: member.Record{
 			VM: member.VM{Name: name, Place: "a", Region: "north", Callers: name + ":80"}, State: state, Draining: draining, Ready: true,
-			Digests: []member.Digest{{Kind: loadKind, Data: load.Encode()}},
+			Digests: []member.Digest{{Kind: loadDigestKind, Data: load.Encode()}},
 		},
 	}
 }
@@ -34,7 +34,7 @@
 
 func input() directory.Input {
 	return directory.Input{
-		Serving: true, Load: loadKind, Lifetime: 10 * time.Second, Limit: 8,
+		Serving: true, Load: loadDigestKind, Lifetime: 10 * time.Second, Limit: 8,
 		Members: []member.Member{
 			gate("a1", member.Alive, false, directory.GateLoad{InProgress: 90, Capacity: 100}),
 			gate("a2", member.Alive, false, directory.GateLoad{InProgress: 10, Capacity: 100}),
@@ -67,7 +67,7 @@
 		first[names(answer)[0]]++
 		g.Expect(answer.Revision).To(Equal(uint64(1001)))
 	}
-	// Free shares of 0.1 and 0.9: one caller in ten starts with a1.
+	// Free shares of 0.1 and 0.9: one caller in ten gets a1 first.
 	g.Expect(first["a1"]).To(BeNumerically("~", 100, 40))
 
 	changed := input()
@@ -83,8 +83,8 @@
 	g.Expect(names(answer)).To(Equal([]string{"b1", "a1"}))
 }
 
-// A gate is cut off and knows it. Whoever still reaches it must not be sent
-// back to it, nor to gates that it suspects only because it is cut off.
+// A gate that has lost its lease because it is cut off must not list itself to callers that
+// still reach it, nor gates that it suspects only because it is cut off.
 func TestGateWithoutLeaseNamesOthersOrNone(t *testing.T) {
 	g := NewWithT(t)
 	dir := directory.New(1000, rand.New(rand.NewPCG(1, 1)))
@@ -94,7 +94,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(names(answer)).To(Equal([]string{"a2", "b1"}))
 
-	// One that has just started knows no upstream yet.
+	// A gate that has just started knows no upstream yet.
 	starting := input()
 	starting.Members[1].Ready = false
 	answer, err = dir.Decide(starting)
@@ -111,9 +111,9 @@
 	g.Expect(err).To(MatchError(ContainSubstring("no gate is known")))
 }
 
-// An operator stops a gate. A caller got its address one second before, keeps
-// it for ten, connects at the end of them and asks for a stream of a minute.
-// Neither its connection may be refused nor its stream be cut.
+// A caller that got the address of a gate 1 s before an operator stops it keeps the address
+// for 10 s, connects at the end of them and streams for a minute. The drain must neither
+// refuse the connection nor cut the stream.
 func TestDrainOutlastsAnswersAndStreams(t *testing.T) {
 	start := time.Date(2026, 1, 5, 9, 0, 0, 0, time.UTC)
 	drain := directory.NewDrain(directory.DrainConfig{Lifetime: 10 * time.Second, Spread: 5 * time.Second, Longest: 5 * time.Minute})
@@ -122,8 +122,8 @@
 		inProgress int
 		want       directory.Phase
 	}{
-		{0, 0, directory.Lingers},
-		{14 * time.Second, 0, directory.Lingers},
+		{0, 0, directory.Lingering},
+		{14 * time.Second, 0, directory.Lingering},
 		{15 * time.Second, 1, directory.Finishes},
 		{74 * time.Second, 1, directory.Finishes},
 		{75 * time.Second, 0, directory.Stopped},
@@ -132,7 +132,7 @@
 	g := NewWithT(t)
 	g.Expect(drain.Phase(start, 0)).To(Equal(directory.Serving))
 	drain.Begin(start)
-	drain.Begin(start.Add(time.Second)) // a second signal does not prolong it
+	drain.Begin(start.Add(time.Second)) // a second signal does not extend the drain
 	for _, step := range steps {
 		g.Expect(drain.Phase(start.Add(step.after), step.inProgress)).To(Equal(step.want), fmt.Sprint(step))
 	}
--- a/internal/directory/drain.go
+++ b/internal/directory/drain.go
@@ -2,32 +2,27 @@
 
 import "time"
 
-// Phase is how far a gate's drain has come.
+// Phase is the progress of a gate's drain.
 type Phase uint8
 
 // Phases of a drain.
 const (
-	Serving  Phase = 0 // not draining
-	Lingers  Phase = 1 // left the directory; callers that keep an answer still come and are served
-	Finishes Phase = 2 // all answers have run out; takes nothing new, requests in progress go on
-	Stopped  Phase = 3 // nothing is left in progress, or the longest drain is over
+	Serving   Phase = 0 // not draining
+	Lingering Phase = 1 // not listed any more; still serves callers that use an earlier answer
+	Finishes  Phase = 2 // all answers that list the gate have expired; accepts no new requests, finishes running ones
+	Stopped   Phase = 3 // no request is running, or the drain has reached its maximum time
 )
 
-// DefaultSpread is how long after its drain begins other gates may still name a
-// gate: the publication to the places of the region (0.5 s), its way to every gate
-// there (1 s), and either a lost packet, made good by the next publication (2 s),
-// or the answer of an earlier delegate, left out when it missed one (3 s). The
-// rest is a reserve.
+// DefaultSpread is how long other gates may list a gate after its drain has begun: its
+// publication to the places of the region (0.5 s), the delivery to every gate there (1 s),
+// and either a lost packet, repaired by the next publication (2 s), or the answer of an
+// earlier delegate, dropped when it missed a publication (3 s). The rest is a safety margin.
 const DefaultSpread = 6 * time.Second
 
-// Drain decides when a gate that was told to stop may do so.
-//
-// Failure guarded against: callers keep the directory's answer and connect to
-// its addresses without asking again. A gate that stops when its own streams
-// have ended refuses the connections of those who got its address a second
-// before; they see errors though every other gate is well. So the gate serves
-// on until the last answer that may name it has run out: the time others need
-// to learn of the drain, and one lifetime.
+// Drain decides when a stopping gate may exit. Callers keep an answer of the directory and
+// connect to its addresses without asking again, so a gate that exits when its own streams
+// have ended would refuse callers that were just given its address. The gate therefore
+// serves until the last answer that may list it has expired: the spread plus one lifetime.
 type Drain struct {
 	config DrainConfig
 	began  time.Time
@@ -36,15 +31,15 @@
 
 // DrainConfig bounds a drain.
 type DrainConfig struct {
-	Lifetime time.Duration // of answers
-	Spread   time.Duration // until no other gate names this one; zero at a site of one gate
-	Longest  time.Duration // of the whole drain; requests still in progress are cut then
+	Lifetime time.Duration // lifetime of an answer
+	Spread   time.Duration // time until no other gate lists this one; zero if there is no other gate
+	Longest  time.Duration // maximum time of the drain, after which running requests are cut off
 }
 
-// NewDrain makes a drain that has not begun.
+// NewDrain creates a drain that has not begun.
 func NewDrain(config DrainConfig) *Drain { return &Drain{config: config} }
 
-// Begin starts the drain; later calls change nothing.
+// Begin starts the drain. Further calls have no effect.
 func (d *Drain) Begin(now time.Time) {
 	if !d.active {
 		d.active = true
@@ -52,8 +47,8 @@
 	}
 }
 
-// Phase gives the phase while inProgress requests run. The gate's own answers
-// must have stopped naming it when Begin was called.
+// Phase returns the phase of the drain while inProgress requests run. From the call of Begin
+// on, the gate's own answers must not list it.
 func (d *Drain) Phase(now time.Time, inProgress int) Phase {
 	if !d.active {
 		return Serving
@@ -63,7 +58,7 @@
 	case age >= d.config.Longest:
 		return Stopped
 	case age < d.config.Spread+d.config.Lifetime:
-		return Lingers
+		return Lingering
 	case inProgress > 0:
 		return Finishes
 	default:
@@ -71,6 +66,6 @@
 	}
 }
 
-// AnswersEnd gives the moment when no caller may hold an answer that names the
-// gate, for operators who wait.
+// AnswersEnd returns when the last answer that may list the gate expires, for operators who
+// wait for it.
 func (d *Drain) AnswersEnd() time.Time { return d.began.Add(d.config.Spread + d.config.Lifetime) }
--- a/internal/roster/gates.go
+++ b/internal/roster/gates.go
@@ -9,23 +9,23 @@
 	"slateway.example/slateway/internal/member"
 )
 
-// Gate is what a gate says of itself.
+// Gate is a gate's report on itself.
 type Gate struct {
 	VM       string `cbor:"1,keyasint"`
 	Place    string `cbor:"2,keyasint"`
 	Region   string `cbor:"3,keyasint"`
 	Callers  string `cbor:"4,keyasint"` // IP:port for callers
 	Peers    string `cbor:"5,keyasint"` // IP:port for the project's own processes
-	Started  int64  `cbor:"6,keyasint"` // start of its process, in ms since 1970
-	Sequence uint64 `cbor:"7,keyasint"` // rises with each report of one process
+	Started  int64  `cbor:"6,keyasint"` // process start in ms since 1970
+	Sequence uint64 `cbor:"7,keyasint"` // increases with each report of a process
 	Ready    bool   `cbor:"8,keyasint,omitempty"`
 	Draining bool   `cbor:"9,keyasint,omitempty"`
 }
 
-// Serves says whether callers may be sent to the gate.
-func (g *Gate) Serves() bool { return g.Ready && !g.Draining }
+// IsServing reports whether callers may be sent to the gate.
+func (g *Gate) IsServing() bool { return g.Ready && !g.Draining }
 
-// Members gives gates as the directory and the exchange between gates read them.
+// Members converts gates to the form that the directory and the exchange between gates read.
 func Members(gates []Gate, self string) []member.Member {
 	members := make([]member.Member, len(gates))
 	for i, g := range gates {
@@ -40,7 +40,7 @@
 	return members
 }
 
-// newer orders the reports of a gate: by its process, then by sequence.
+// newer reports whether g is a later report than other: by process start, then by sequence.
 func (g *Gate) newer(other *Gate) bool {
 	if g.Started != other.Started {
 		return g.Started > other.Started
@@ -48,20 +48,21 @@
 	return g.Sequence > other.Sequence
 }
 
-// sameState says whether two reports differ in their sequence only.
+// sameState reports whether two reports differ only in their sequence.
 func (g Gate) sameState(other Gate) bool {
 	g.Sequence = other.Sequence
 	return g == other
 }
 
 type gateRow struct {
-	gate    Gate
-	seen    time.Time
-	version uint64 // of the last change that others must know
-	expired bool
+	gate       Gate
+	lastReport time.Time
+	version    uint64 // version of the last change that followers must receive
+	expired    bool
 }
 
-// Hear takes in a gate's report of age ago. It says whether others must know.
+// RecordReport applies a gate's report that was made age ago. It reports whether followers
+// must be notified.
 func (t *Table) Hear(now time.Time, g Gate, age time.Duration) bool {
 	row := t.gates[g.VM]
 	if row == nil {
@@ -71,35 +72,35 @@
 		return false
 	}
 	same := !row.expired && row.gate.sameState(g)
-	row.gate, row.seen, row.expired = g, now.Add(-age), false
+	row.gate, row.lastReport, row.expired = g, now.Add(-age), false
 	if same {
 		return false
 	}
-	t.changeGate(row)
+	t.recordGateChange(row)
 	return true
 }
 
-// Silence leaves a gate out that has said nothing since a report, until it is heard
-// again. It says whether others must know.
+// MarkUnresponsive removes a gate that has not reported since the given report from the live
+// gates until its next report. It reports whether followers must be notified.
 func (t *Table) Silence(g *Gate) bool {
 	row := t.gates[g.VM]
 	if row == nil || row.expired || row.gate.newer(g) {
 		return false
 	}
 	row.expired = true
-	t.changeGate(row)
+	t.recordGateChange(row)
 	return true
 }
 
-func (t *Table) changeGate(row *gateRow) {
+func (t *Table) recordGateChange(row *gateRow) {
 	t.version++
 	row.version = t.version
 }
 
-func byVM(a, b Gate) int { return cmp.Compare(a.VM, b.VM) }
+func compareVM(a, b Gate) int { return cmp.Compare(a.VM, b.VM) }
 
-// AllGates replaces the gates that changed by all that live, for a follower that
-// takes whole lists only.
+// IncludeAllGates replaces the changed gates by all live gates, for a follower that supports
+// whole lists only.
 func (t *Table) AllGates(changes *Changes) {
 	if len(changes.Gates)+len(changes.GatesGone) == 0 {
 		return
@@ -107,7 +108,7 @@
 	changes.Gates, changes.GatesGone, changes.HasGates = t.Gates(), nil, true
 }
 
-// ApplyGates gives a follower's list of gates, by VM, brought forward by changes.
+// ApplyGates returns a follower's list of gates with the changes applied, sorted by VM.
 func ApplyGates(known []Gate, changes *Changes) []Gate {
 	if changes.HasGates {
 		return changes.Gates
@@ -122,10 +123,10 @@
 	for _, gate := range changes.Gates {
 		gates[gate.VM] = gate
 	}
-	return slices.SortedFunc(maps.Values(gates), byVM)
+	return slices.SortedFunc(maps.Values(gates), compareVM)
 }
 
-// Gates gives the gates that live, by VM.
+// Gates returns the live gates sorted by VM.
 func (t *Table) Gates() []Gate {
 	var gates []Gate
 	for _, row := range t.gates {
@@ -133,11 +134,11 @@
 			gates = append(gates, row.gate)
 		}
 	}
-	slices.SortFunc(gates, byVM)
+	slices.SortFunc(gates, compareVM)
 	return gates
 }
 
-// CountGates gives the number of gates that live.
+// CountGates returns the number of live gates.
 func (t *Table) CountGates() int {
 	count := 0
 	for _, row := range t.gates {
@@ -148,34 +149,34 @@
 	return count
 }
 
-// Lives says whether a gate was heard within its lifetime.
+// IsAlive reports whether a gate has reported within its lifetime.
 func (t *Table) Lives(vm string) bool {
 	row := t.gates[vm]
 	return row != nil && !row.expired
 }
 
-// HeardGate is a gate's report with its age.
+// GateReport is a gate's report with its age.
 type HeardGate struct {
 	Gate Gate          `cbor:"1,keyasint"`
 	Age  time.Duration `cbor:"2,keyasint"`
-	// Silent: the gate has asked nobody since this report.
+	// Unresponsive reports that the gate has sent no request to any control VM since this report.
 	Silent bool `cbor:"3,keyasint,omitempty"`
 }
 
-// HeardGates gives the gates that live with the age of their last report.
+// AllGateReports returns the reports of all live gates with their age.
 func (t *Table) HeardGates(now time.Time) []HeardGate {
 	return t.HeardOf(now, slices.Collect(maps.Keys(t.gates)))
 }
 
-// HeardOf gives those of the named gates that live, by VM, with the age of their
-// last report.
+// GateReports returns the reports of those of the given gates that are alive, sorted by VM,
+// with their age.
 func (t *Table) HeardOf(now time.Time, vms []string) []HeardGate {
-	var heard []HeardGate
+	var reports []HeardGate
 	for _, vm := range vms {
 		if row := t.gates[vm]; row != nil && !row.expired {
-			heard = append(heard, HeardGate{Gate: row.gate, Age: max(0, now.Sub(row.seen))})
+			reports = append(reports, HeardGate{Gate: row.gate, Age: max(0, now.Sub(row.lastReport))})
 		}
 	}
-	slices.SortFunc(heard, func(a, b HeardGate) int { return byVM(a.Gate, b.Gate) })
-	return heard
+	slices.SortFunc(reports, func(a, b HeardGate) int { return compareVM(a.Gate, b.Gate) })
+	return reports
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,8 +1,8 @@
-// Package roster is what one control VM knows of the fleet around it: the
-// replicas that announce themselves to any control VM, and the gates that follow
-// any of them. Control VMs share what they hear; gates are told of changes.
+// Package roster keeps the fleet state of one control VM: the replicas that announce
+// themselves to any control VM and the gates that follow any control VM. Control VMs share
+// the reports that they receive and send gates the changes.
 //
-// It is a decision package: the time is passed in, and nothing here does I/O.
+// Package roster is a decision package: it receives the time as an argument and does no I/O.
 package roster
 
 import (
@@ -14,17 +14,18 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// Config bounds how long silence is borne.
+// Config sets the timeouts of replicas and gates.
 type Config struct {
-	// ReplicaLifetime is the silence after which a replica is forgotten. Gates
-	// notice a dead one by themselves, so that it may be long: replicas that only
-	// lost their way to the control VMs serve on.
+	// ReplicaLifetime is the time without an announcement after which a replica is removed.
+	// It may be long because gates detect dead replicas themselves, and replicas that only
+	// lost their connection to the control VMs still serve.
 	ReplicaLifetime time.Duration
-	// GateLifetime is the silence after which a gate is not named to callers.
+	// GateLifetime is the time without a report after which a gate is no longer listed to
+	// callers.
 	GateLifetime time.Duration
 }
 
-// Gone names a replica that is no more, up to an incarnation.
+// Gone identifies a removed replica up to an incarnation.
 type Gone struct {
 	Replica     upstream.ReplicaID `cbor:"1,keyasint"`
 	Incarnation uint64             `cbor:"2,keyasint"`
@@ -32,10 +33,10 @@
 }
 
 type replicaRow struct {
-	announcement upstream.Announcement
-	seen         time.Time
-	version      uint64 // of the last change that gates must know
-	gone         bool   // forgotten; kept for a while, for those that must be told
+	announcement  upstream.Announcement
+	lastHeartbeat time.Time
+	version       uint64 // version of the last change that gates must receive
+	removed       bool   // tombstone, kept so that followers receive the removal
 }
 
 // Table is the roster of one control VM. It is not safe for concurrent use.
@@ -43,41 +44,41 @@
 	config   Config
 	version  uint64
 	replicas map[upstream.ReplicaID]*replicaRow
-	// holders gives the replica that has an address. Invariant: it names exactly
-	// the replicas whose rows are not gone.
-	holders map[string]upstream.ReplicaID
-	gates   map[string]*gateRow
+	// byAddress maps an address to the replica that holds it. Invariant: it contains exactly
+	// the replicas whose rows are not removed.
+	byAddress map[string]upstream.ReplicaID
+	gates     map[string]*gateRow
 }
 
-// New makes an empty roster.
+// New creates an empty roster.
 func New(config Config) *Table {
 	return &Table{
 		config: config, replicas: make(map[upstream.ReplicaID]*replicaRow),
-		holders: make(map[string]upstream.ReplicaID), gates: make(map[string]*gateRow),
+		byAddress: make(map[string]upstream.ReplicaID), gates: make(map[string]*gateRow),
 	}
 }
 
-// Version grows with each change that gates must know.
+// Version increases with each change that gates must receive.
 func (t *Table) Version() uint64 { return t.version }
 
-// Verdict says what an announcement meant.
+// Verdict is the effect of an announcement.
 type Verdict int
 
 // Verdicts on an announcement.
 const (
-	Stale     Verdict = iota // late, or of a process that has ended: nothing changes
-	Refreshed                // heard again, nothing that gates must know
-	Changed                  // gates must know
+	Stale     Verdict = iota // outdated, or from a process that has ended: no change
+	Refreshed                // the lifetime is extended; no change that gates must receive
+	Changed                  // gates must receive a change
 )
 
-// Announce takes in an announcement that was made age ago, which is valid.
+// Announce applies a valid announcement that was made age ago.
 //
-// Announcements take several ways, overtake each other, and may come from a
-// process that has ended at an address which another one uses by now. Those of
-// one replica are ordered by incarnation, then sequence; of two replicas at one
-// address the later process holds it.
+// Announcements arrive by several paths and out of order, and may come from a process that
+// has ended and whose address another process uses now. Announcements of one replica are
+// ordered by incarnation, then by sequence. Of two replicas with the same address, the one
+// with the higher incarnation holds it.
 func (t *Table) Announce(now time.Time, a upstream.Announcement, age time.Duration) Verdict {
-	if t.addressTaken(&a) {
+	if t.heldByLaterProcess(&a) {
 		return Stale
 	}
 	row := t.replicas[a.Replica]
@@ -85,32 +86,32 @@
 	case row == nil:
 		row = &replicaRow{}
 		t.replicas[a.Replica] = row
-	case !after(&a, &row.announcement):
-		return t.late(row, &a)
+	case !isNewer(&a, &row.announcement):
+		return t.applyLateLeave(row, &a)
 	case a.Incarnation == row.announcement.Incarnation && row.announcement.Leaving:
-		a.Leaving = true // it is never taken back within one process
+		a.Leaving = true // a process cannot revoke that it leaves
 	}
-	known, forgotten := row.announcement, row.gone
-	t.release(row)
-	row.announcement, row.gone = a, false
-	t.holders[a.Address] = a.Replica
-	row.seen = now.Add(-age)
-	if !forgotten && sameForGates(&known, &a) {
+	known, wasRemoved := row.announcement, row.removed
+	t.releaseAddress(row)
+	row.announcement, row.removed = a, false
+	t.byAddress[a.Address] = a.Replica
+	row.lastHeartbeat = now.Add(-age)
+	if !wasRemoved && sameForGates(&known, &a) {
 		return Refreshed
 	}
-	t.change(row)
+	t.recordChange(row)
 	return Changed
 }
 
-func (t *Table) change(row *replicaRow) {
+func (t *Table) recordChange(row *replicaRow) {
 	t.version++
 	row.version = t.version
 }
 
-// addressTaken says whether a later process has the address; an earlier one is
-// forgotten.
-func (t *Table) addressTaken(a *upstream.Announcement) bool {
-	holder, held := t.holders[a.Address]
+// heldByLaterProcess reports whether a later process holds the address. If an earlier one
+// holds it, that replica is removed.
+func (t *Table) heldByLaterProcess(a *upstream.Announcement) bool {
+	holder, held := t.byAddress[a.Address]
 	if !held || holder == a.Replica {
 		return false
 	}
@@ -118,108 +119,108 @@
 	if other.announcement.Incarnation > a.Incarnation {
 		return true
 	}
-	t.forget(other)
+	t.markRemoved(other)
 	return false
 }
 
-// forget notes that a replica is gone.
-func (t *Table) forget(row *replicaRow) {
-	t.release(row)
-	row.gone = true
-	t.change(row)
+// markRemoved turns the row into a tombstone.
+func (t *Table) markRemoved(row *replicaRow) {
+	t.releaseAddress(row)
+	row.removed = true
+	t.recordChange(row)
 }
 
-// release frees the address of a replica, if it has one.
-func (t *Table) release(row *replicaRow) {
+// releaseAddress removes the replica from byAddress if it holds its address.
+func (t *Table) releaseAddress(row *replicaRow) {
 	address := row.announcement.Address
-	if t.holders[address] == row.announcement.Replica {
-		delete(t.holders, address)
+	if t.byAddress[address] == row.announcement.Replica {
+		delete(t.byAddress, address)
 	}
 }
 
-func after(a, known *upstream.Announcement) bool {
+func isNewer(a, known *upstream.Announcement) bool {
 	if a.Incarnation != known.Incarnation {
 		return a.Incarnation > known.Incarnation
 	}
 	return a.Sequence > known.Sequence
 }
 
-// late takes from an overtaken announcement only that its process leaves.
-func (t *Table) late(row *replicaRow, a *upstream.Announcement) Verdict {
+// applyLateLeave applies only the leaving of an outdated announcement.
+func (t *Table) applyLateLeave(row *replicaRow, a *upstream.Announcement) Verdict {
 	if a.Incarnation != row.announcement.Incarnation || !a.Leaving || row.announcement.Leaving {
 		return Stale
 	}
 	row.announcement.Leaving = true
-	t.change(row)
+	t.recordChange(row)
 	return Changed
 }
 
-// sameForGates compares all but the sequence and the load.
+// sameForGates reports whether two announcements are equal except for sequence and load.
 func sameForGates(a, b *upstream.Announcement) bool {
 	return a.Replica == b.Replica && a.Incarnation == b.Incarnation && a.Service == b.Service && a.Kind == b.Kind &&
 		a.Address == b.Address && a.Place == b.Place && a.Slots == b.Slots && a.Ready == b.Ready && a.Leaving == b.Leaving &&
 		slices.Equal(a.Models, b.Models)
 }
 
-// Leave notes that a replica leaves. An incarnation of 0 stands for the one
-// known. It returns the announcement with that change for the other control VMs;
-// ok is false if the replica is not known or this is no news.
+// Leave records that a replica leaves; incarnation 0 means the current one. It returns the
+// changed announcement for the other control VMs. ok is false if the replica is unknown, has
+// another incarnation or is already leaving.
 func (t *Table) Leave(id upstream.ReplicaID, incarnation uint64) (upstream.Announcement, bool) {
 	row := t.replicas[id]
 	if row == nil || row.announcement.Leaving || (incarnation != 0 && incarnation != row.announcement.Incarnation) {
 		return upstream.Announcement{}, false
 	}
 	row.announcement.Leaving = true
-	t.change(row)
+	t.recordChange(row)
 	return row.announcement, true
 }
 
-// forgetFactor times a lifetime is how long what is gone is remembered, so that
-// a late report of it is known to be late.
-const forgetFactor = 4
+// tombstoneLifetimes is how long removed replicas and gates are kept, as a multiple of
+// ReplicaLifetime, so that a late report of them is recognized as outdated.
+const tombstoneLifetimes = 4
 
-// Tick lets time pass: the silent are forgotten.
+// Tick removes replicas and gates whose lifetime has passed.
 func (t *Table) Tick(now time.Time) {
 	for id, row := range t.replicas {
-		silent := now.Sub(row.seen)
+		idle := now.Sub(row.lastHeartbeat)
 		switch {
-		case silent > forgetFactor*t.config.ReplicaLifetime:
-			t.release(row)
+		case idle > tombstoneLifetimes*t.config.ReplicaLifetime:
+			t.releaseAddress(row)
 			delete(t.replicas, id)
-		case silent > t.config.ReplicaLifetime && !row.gone:
-			t.forget(row)
+		case idle > t.config.ReplicaLifetime && !row.removed:
+			t.markRemoved(row)
 		}
 	}
 	for vm, row := range t.gates {
-		silent := now.Sub(row.seen)
+		idle := now.Sub(row.lastReport)
 		switch {
-		case silent > forgetFactor*t.config.ReplicaLifetime:
+		case idle > tombstoneLifetimes*t.config.ReplicaLifetime:
 			delete(t.gates, vm)
-		case silent > t.config.GateLifetime && !row.expired:
+		case idle > t.config.GateLifetime && !row.expired:
 			row.expired = true
-			t.changeGate(row)
+			t.recordGateChange(row)
 		}
 	}
 }
 
-// Changes is what a follower must know.
+// Changes is a set of changes for a follower.
 type Changes struct {
-	Version  uint64                  `cbor:"1,keyasint"` // to ask from the next time
+	Version  uint64                  `cbor:"1,keyasint"` // version from which to ask the next time
 	Replicas []upstream.Announcement `cbor:"2,keyasint,omitempty"`
 	Gone     []Gone                  `cbor:"3,keyasint,omitempty"`
 	Gates    []Gate                  `cbor:"4,keyasint,omitempty"`
-	HasGates bool                    `cbor:"5,keyasint,omitempty"` // Gates are all that live; otherwise those that changed
-	// GatesGone are the VMs of gates that live no longer.
+	HasGates bool                    `cbor:"5,keyasint,omitempty"` // Gates lists all live gates, otherwise only the changed ones
+	// GatesGone lists the VMs of gates that are no longer alive.
 	GatesGone []string `cbor:"6,keyasint,omitempty"`
 }
 
-// Since gives what changed after a version; 0 gives everything that lives.
+// Since returns the changes after a version; 0 returns everything that is alive.
 func (t *Table) Since(version uint64) Changes {
 	changes := Changes{Version: t.version, HasGates: version == 0}
 	for _, row := range t.replicas {
 		switch {
-		case row.version <= version || (row.gone && version == 0):
-		case row.gone:
+		case row.version <= version || (row.removed && version == 0):
+		case row.removed:
 			a := &row.announcement
 			changes.Gone = append(changes.Gone, Gone{Replica: a.Replica, Incarnation: a.Incarnation, Service: a.Service})
 		default:
@@ -236,30 +237,31 @@
 		}
 	}
 	slices.SortFunc(changes.Replicas, func(a, b upstream.Announcement) int { return cmp.Compare(a.Replica, b.Replica) })
-	slices.SortFunc(changes.Gates, byVM)
+	slices.SortFunc(changes.Gates, compareVM)
 	return changes
 }
 
-// Heard is a row with its age, as control VMs share it.
+// ReplicaReport is a replica's announcement with its age, as shared between control VMs.
 type Heard struct {
 	Replica upstream.Announcement `cbor:"1,keyasint"`
 	Age     time.Duration         `cbor:"2,keyasint"`
 }
 
-// Replicas gives the replicas that live with the age of their last heartbeat.
+// AllReplicaReports returns the announcements of all live replicas with the age of their last
+// heartbeat.
 func (t *Table) Replicas(now time.Time) []Heard {
 	return t.Heard(now, slices.Collect(maps.Keys(t.replicas)))
 }
 
-// Heard gives those of the named replicas that live, by ID, with the age of
-// their last heartbeat.
+// ReplicaReports returns the announcements of those of the given replicas that are alive,
+// sorted by ID, with the age of their last heartbeat.
 func (t *Table) Heard(now time.Time, ids []upstream.ReplicaID) []Heard {
-	var heard []Heard
+	var reports []Heard
 	for _, id := range ids {
-		if row := t.replicas[id]; row != nil && !row.gone {
-			heard = append(heard, Heard{Replica: row.announcement, Age: max(0, now.Sub(row.seen))})
+		if row := t.replicas[id]; row != nil && !row.removed {
+			reports = append(reports, Heard{Replica: row.announcement, Age: max(0, now.Sub(row.lastHeartbeat))})
 		}
 	}
-	slices.SortFunc(heard, func(a, b Heard) int { return cmp.Compare(a.Replica.Replica, b.Replica.Replica) })
-	return heard
+	slices.SortFunc(reports, func(a, b Heard) int { return cmp.Compare(a.Replica.Replica, b.Replica.Replica) })
+	return reports
 }
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -22,40 +22,39 @@
 	}
 }
 
-// A replica says that it drains, and heartbeats that it sent before arrive after
-// it. Callers must not be sent there again.
+// Heartbeats that a replica sent before it reported that it leaves may arrive after that
+// report. They must not make callers use the replica again.
 func TestLeavingIsNotTakenBackByALateHeartbeat(t *testing.T) {
 	r := table()
 	r.Announce(start, announcement("r1", 5, 1, "10.0.0.9:80"), 0)
 	leaving := announcement("r1", 5, 3, "10.0.0.9:80")
 	leaving.Leaving = true
 	if v := r.Announce(start, leaving, 0); v != roster.Changed {
-		t.Fatalf("draining: %v", v)
+		t.Fatalf("leaving announcement: %v, want Changed", v)
 	}
 	version := r.Version()
 	if v := r.Announce(start, announcement("r1", 5, 2, "10.0.0.9:80"), 0); v != roster.Stale {
-		t.Fatalf("an older heartbeat: %v", v)
+		t.Fatalf("earlier heartbeat of the same process: %v, want Stale", v)
 	}
 	if v := r.Announce(start, announcement("r1", 5, 4, "10.0.0.9:80"), 0); v != roster.Refreshed {
-		t.Fatalf("a newer heartbeat of the same process: %v", v)
+		t.Fatalf("later heartbeat of the same process: %v, want Refreshed", v)
 	}
 	if changes := r.Since(0); r.Version() != version || !changes.Replicas[0].Leaving {
 		t.Fatalf("%+v", changes)
 	}
 	if v := r.Announce(start, announcement("r1", 6, 1, "10.0.0.9:80"), 0); v != roster.Changed || r.Since(0).Replicas[0].Leaving {
-		t.Fatalf("a new process under the same ID: %v", v)
+		t.Fatalf("new process with the same ID: %v, want Changed and not leaving", v)
 	}
 }
 
-// A replica crashes behind a partition, another one starts at its address, and
-// a heartbeat of the first arrives only now. Requests to the address must name
-// the one that is there.
+// When a replica crashes behind a partition and another one starts at its address, a late
+// heartbeat of the first must not redirect requests for the address to it.
 func TestAHeartbeatFromADeadProcessDoesNotTakeTheAddressBack(t *testing.T) {
 	r := table()
 	r.Announce(start, announcement("old", 5, 1, "10.0.0.9:80"), 0)
 	r.Announce(start, announcement("new", 9, 1, "10.0.0.9:80"), 0)
 	if v := r.Announce(start, announcement("old", 5, 2, "10.0.0.9:80"), 0); v != roster.Stale {
-		t.Fatalf("late heartbeat: %v", v)
+		t.Fatalf("late heartbeat of the dead replica: %v, want Stale", v)
 	}
 	changes := r.Since(1)
 	if len(changes.Replicas) != 1 || changes.Replicas[0].Replica != "new" || len(changes.Gone) != 1 || changes.Gone[0].Replica != "old" {
@@ -63,64 +62,64 @@
 	}
 }
 
-// The deregistration of a process reaches a control VM late, when its successor
-// under the same ID runs already.
+// The deregistration of a process may reach a control VM when its successor with the same ID
+// is already running. The successor must stay.
 func TestLeaveOfAnotherIncarnationIsIgnored(t *testing.T) {
 	r := table()
 	r.Announce(start, announcement("r1", 6, 1, "10.0.0.9:80"), 0)
 	if _, news := r.Leave("r1", 5); news {
-		t.Fatal("the successor left")
+		t.Fatal("a leave of an earlier incarnation was applied to its successor")
 	}
 	if _, news := r.Leave("r1", 0); !news || !r.Since(0).Replicas[0].Leaving {
-		t.Fatal("the process that is known did not leave")
+		t.Fatal("a leave without incarnation was not applied to the current process")
 	}
 	if _, news := r.Leave("unknown", 0); news {
-		t.Fatal("an unknown replica left")
+		t.Fatal("a leave of an unknown replica was reported as a change")
 	}
 }
 
-// A replica loses its way to the control VMs for a while and serves on. It is
-// forgotten after the lifetime only, and known again with its next heartbeat.
+// A replica that loses its connection to the control VMs but still serves must be removed
+// only after its lifetime, and return with its next heartbeat.
 func TestASilentReplicaIsForgottenLateAndReturns(t *testing.T) {
 	r := table()
 	r.Announce(start, announcement("r1", 5, 1, "10.0.0.9:80"), 0)
 	r.Tick(start.Add(20 * time.Second))
 	if len(r.Since(0).Replicas) != 1 {
-		t.Fatal("forgotten within its lifetime")
+		t.Fatal("the replica was removed within its lifetime")
 	}
 	version := r.Version()
 	r.Tick(start.Add(21 * time.Second))
 	if gone := r.Since(version).Gone; len(gone) != 1 {
-		t.Fatalf("gates are not told: %+v", gone)
+		t.Fatalf("gates do not receive the removal: %+v", gone)
 	}
 	if v := r.Announce(start.Add(22*time.Second), announcement("r1", 5, 2, "10.0.0.9:80"), 0); v != roster.Changed {
-		t.Fatalf("back: %v", v)
+		t.Fatalf("heartbeat after the removal: %v, want Changed", v)
 	}
 }
 
-// A gate is killed: callers are not sent there after its lifetime, although
-// another control VM still shares the old report of it.
+// A killed gate must not be listed to callers after its lifetime, even if another control VM
+// still shares its old report.
 func TestASilentGateIsNotNamed(t *testing.T) {
 	r := table()
 	gate := roster.Gate{VM: "gate-1", Callers: "10.0.0.1:80", Started: 5, Sequence: 1, Ready: true}
 	if !r.Hear(start, gate, 0) || r.Hear(start, gate, 0) {
-		t.Fatal("news once")
+		t.Fatal("want a change for the first report only")
 	}
 	r.Tick(start.Add(3 * time.Second))
 	if len(r.Gates()) != 0 {
-		t.Fatal("still named")
+		t.Fatal("the gate is listed after its lifetime")
 	}
 	r.Hear(start.Add(3*time.Second), gate, 3*time.Second)
 	if len(r.Gates()) != 0 {
-		t.Fatal("named again by an old report")
+		t.Fatal("an old report made the gate listed again")
 	}
 	gate.Sequence = 2
 	if !r.Hear(start.Add(4*time.Second), gate, 0) || len(r.Gates()) != 1 {
-		t.Fatal("not named after a new report")
+		t.Fatal("the gate is not listed after a new report")
 	}
 }
 
-// Guards against followers that miss a gate, or keep one that is gone, when they are told changes only.
+// Followers that receive only changes must neither miss a gate nor keep one that is gone.
 func TestGatesAsChanges(t *testing.T) {
 	r := table()
 	gate := func(vm string, sequence uint64) roster.Gate {
@@ -145,20 +144,20 @@
 	}
 	r.AllGates(&later)
 	if !later.HasGates || len(later.Gates) != 2 || len(later.GatesGone) != 0 {
-		t.Errorf("a follower of whole lists gets %+v", later)
+		t.Errorf("a follower that supports whole lists only gets %+v", later)
 	}
 }
 
-// Guards against an address that nobody can take over: a replica that moved, and one that was forgotten, held it.
+// The address of a replica that moved or was removed must be free for another replica.
 func TestAnAddressIsFreeOnceItsReplicaMovedOrIsForgotten(t *testing.T) {
 	r := table()
 	r.Announce(start, announcement("r1", 9, 1, "10.0.0.9:80"), 0)
 	r.Announce(start, announcement("r1", 9, 2, "10.0.0.10:80"), 0)
 	if v := r.Announce(start, announcement("r2", 5, 1, "10.0.0.9:80"), 0); v != roster.Changed {
-		t.Fatalf("after a move: %v", v)
+		t.Fatalf("announcement at the address of a replica that moved: %v, want Changed", v)
 	}
 	r.Tick(start.Add(21 * time.Second))
 	if v := r.Announce(start.Add(21*time.Second), announcement("r3", 3, 1, "10.0.0.10:80"), 0); v != roster.Changed {
-		t.Errorf("after it was forgotten: %v", v)
+		t.Errorf("announcement at the address of a removed replica: %v, want Changed", v)
 	}
 }
