--- a/internal/gate/follow/confirm.go
+++ b/internal/gate/follow/confirm.go
@@ -74,7 +74,7 @@
 	address := f.target()
 	response, err := f.call(context.Background(), address, request)
 	if err != nil {
-		f.options.Log.Info("cannot confirm the routes with the control VM", zap.String("control", address), zap.Error(err))
+		f.options.Log.Info("routes not confirmed", zap.String("control", address), zap.Error(err))
 		return err
 	}
 	if document := f.unpackRoutes(address, response); document != nil {
--- a/internal/gate/follow/follower.go
+++ b/internal/gate/follow/follower.go
@@ -250,7 +250,7 @@
 	first := f.consecutiveFailures == 1
 	f.mu.Unlock()
 	if first { // logged once until a control VM answers, which logs "following"
-		f.options.Log.Info("control VM does not answer, trying others", zap.String("control", address),
+		f.options.Log.Info("control VM does not answer, asking others", zap.String("control", address),
 			zap.Duration("age", f.Age()), zap.Error(err))
 	}
 }
--- a/internal/gate/follow/take.go
+++ b/internal/gate/follow/take.go
@@ -82,7 +82,7 @@
 	}
 	f.matcher.Store(routes.NewMatcher(document))
 	f.options.Metrics.Set("routes.version", int64(document.Version))
-	f.options.Log.Info("new routes in force", zap.Uint64("version", document.Version), zap.Uint64("before", before),
+	f.options.Log.Info("routes in force", zap.Uint64("version", document.Version), zap.Uint64("before", before),
 		zap.Int("routes", len(document.Routes)), zap.String("control", address))
 }
 
@@ -102,7 +102,7 @@
 		}
 	}
 	for _, gone := range changes.Gone {
-		f.withdraw(gone, "removed by the control VMs")
+		f.withdraw(gone, "forgotten by the control VMs")
 	}
 	if !full {
 		return
--- a/internal/limit/ledger_test.go
+++ b/internal/limit/ledger_test.go
@@ -72,20 +72,20 @@
 func TestCallersComeBackOneAfterTheOther(t *testing.T) {
 	l := newLedger()
 	c := limit.Cap{Rate: 20, Burst: 10}
-	var back []time.Duration
+	var delays []time.Duration
 	for range 50 {
 		if answer := l.Take(start, askFor(c), owner); answer.Verdict == limit.OverCap {
-			back = append(back, answer.Wait)
+			delays = append(delays, answer.Wait)
 		}
 	}
 	served := 0
-	for _, wait := range back {
+	for _, wait := range delays {
 		if l.Take(start.Add(wait), askFor(c), owner).Verdict == limit.Granted {
 			served++
 		}
 	}
-	if len(back) < 40 || served != len(back) {
-		t.Errorf("%d of %d refused callers were granted credit at their retry time", served, len(back))
+	if len(delays) < 40 || served != len(delays) {
+		t.Errorf("%d of %d refused callers were granted credit at their retry time", served, len(delays))
 	}
 }
 
@@ -194,11 +194,11 @@
 	if count < 90 || !notified {
 		t.Errorf("%d of 100 granted in 5 s at 20 per second; owner notified: %t", count, notified)
 	}
-	back := newLedger()
-	back.Take(start, askFor(c), owner)
-	back.Yield(start.Add(time.Second), "council")
-	countGranted(back, start.Add(time.Second), c, 100)
-	if answer := back.Take(start.Add(1500*time.Millisecond), askFor(c), owner); answer.Verdict == limit.Granted {
+	yielding := newLedger()
+	yielding.Take(start, askFor(c), owner)
+	yielding.Yield(start.Add(time.Second), "council")
+	countGranted(yielding, start.Add(time.Second), c, 100)
+	if answer := yielding.Take(start.Add(1500*time.Millisecond), askFor(c), owner); answer.Verdict == limit.Granted {
 		t.Errorf("%+v from an owner that yields to its standby", answer)
 	}
 }
