--- a/internal/gate/orders/shell.go
+++ b/internal/gate/orders/shell.go
@@ -94,7 +94,7 @@
 	defer ticker.Stop()
 	var calls sync.WaitGroup
 	for ctx.Err() == nil {
-		s.runRound(ctx, &calls)
+		s.reconcile(ctx, &calls)
 		select {
 		case <-ctx.Done():
 		case <-ticker.C:
@@ -115,7 +115,8 @@
 	acquireTimeout = 3 * time.Second
 )
 
-func (s *Shell) runRound(ctx context.Context, calls *sync.WaitGroup) {
+// reconcile renews the tenure and, while it is held, starts the actions that are due.
+func (s *Shell) reconcile(ctx context.Context, calls *sync.WaitGroup) {
 	acquireCtx, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
 	// The lease is counted from the request. Counted from the response, it could outlast the
