--- a/internal/blob/blob.go
+++ b/internal/blob/blob.go
@@ -271,7 +271,7 @@
 
 // FullSegments returns the numbers of the segments that receive no more appends, in
 // ascending order.
-func (l *Log) Segments() []uint32 {
+func (l *Log) FullSegments() []uint32 {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	var full []uint32
--- a/internal/control/controlapi/api.go
+++ b/internal/control/controlapi/api.go
@@ -99,10 +99,10 @@
 
 // ShareRequest tells another control VM what was heard.
 type ShareRequest struct {
-	From     string             `cbor:"1,keyasint"` // peers address
-	Replicas []roster.Heard     `cbor:"2,keyasint,omitempty"`
-	Gates    []roster.HeardGate `cbor:"3,keyasint,omitempty"`
-	Left     []Left             `cbor:"4,keyasint,omitempty"`
+	From     string                 `cbor:"1,keyasint"` // peers address
+	Replicas []roster.ReplicaReport `cbor:"2,keyasint,omitempty"`
+	Gates    []roster.GateReport    `cbor:"3,keyasint,omitempty"`
+	Left     []Left                 `cbor:"4,keyasint,omitempty"`
 	// Whole asks for everything that the other one knows.
 	Whole bool `cbor:"5,keyasint,omitempty"`
 	// Candidates are the VMs that wait to hold replicated state, as the leader of
@@ -112,6 +112,6 @@
 
 // ShareResponse gives everything, if that was asked for.
 type ShareResponse struct {
-	Replicas []roster.Heard     `cbor:"1,keyasint,omitempty"`
-	Gates    []roster.HeardGate `cbor:"2,keyasint,omitempty"`
+	Replicas []roster.ReplicaReport `cbor:"1,keyasint,omitempty"`
+	Gates    []roster.GateReport    `cbor:"2,keyasint,omitempty"`
 }
--- a/internal/control/follow.go
+++ b/internal/control/follow.go
@@ -148,7 +148,7 @@
 func (s *Service) addChanges(response *controlapi.FollowResponse, since uint64, takesGateChanges bool) {
 	if !takesGateChanges {
 		response.Changes = s.table.Since(since)
-		s.table.AllGates(&response.Changes)
+		s.table.IncludeAllGates(&response.Changes)
 		return
 	}
 	found, err := s.packedChanges.of(s.table, since)
@@ -239,7 +239,7 @@
 // asked before must not take it for silent.
 func (s *Service) hear(ctx context.Context, gate *roster.Gate) {
 	s.mu.Lock()
-	news := s.table.Hear(time.Now(), *gate, 0)
+	news := s.table.RecordReport(time.Now(), *gate, 0)
 	turnedHere := s.turnsHere(gate.VM, time.Now())
 	s.heardGates[gate.VM] = struct{}{}
 	if news {
@@ -253,5 +253,5 @@
 	if !news && !turnedHere {
 		return
 	}
-	s.spread(ctx, &controlapi.ShareRequest{Gates: []roster.HeardGate{{Gate: *gate}}})
+	s.spread(ctx, &controlapi.ShareRequest{Gates: []roster.GateReport{{Gate: *gate}}})
 }
--- a/internal/control/herd_test.go
+++ b/internal/control/herd_test.go
@@ -139,9 +139,9 @@
 // Guards against changes that are encoded and compressed for each gate, when all gates ask for everything at once.
 func TestEverythingIsPackedOnceForAllGates(t *testing.T) {
 	address, calls := startControl(t, &member{})
-	var gates []roster.HeardGate
+	var gates []roster.GateReport
 	for i := range 200 {
-		gates = append(gates, roster.HeardGate{Gate: roster.Gate{VM: fmt.Sprint("gate-", i), Started: 1, Sequence: 1, Ready: true}})
+		gates = append(gates, roster.GateReport{Gate: roster.Gate{VM: fmt.Sprint("gate-", i), Started: 1, Sequence: 1, Ready: true}})
 	}
 	ctx := context.Background()
 	if _, err := rpc.Call(ctx, calls, address, controlapi.Share, &controlapi.ShareRequest{Gates: gates}); err != nil {
@@ -191,7 +191,7 @@
 	go service.Run(ctx)
 	time.Sleep(50 * time.Millisecond) // between two rounds
 	_, err := rpc.Call(ctx, calls, strings.TrimPrefix(server.URL, "http://"), controlapi.Share, &controlapi.ShareRequest{
-		Gates: []roster.HeardGate{{Gate: roster.Gate{VM: "gate-1", Place: "a", Callers: "10.0.0.1:80", Started: 1, Sequence: 1, Ready: true}}},
+		Gates: []roster.GateReport{{Gate: roster.Gate{VM: "gate-1", Place: "a", Callers: "10.0.0.1:80", Started: 1, Sequence: 1, Ready: true}}},
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/control/invite.go
+++ b/internal/control/invite.go
@@ -67,7 +67,7 @@
 func (s *Service) unheard(gates []roster.Gate) []roster.Gate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.DeleteFunc(gates, func(g roster.Gate) bool { return s.table.Lives(g.VM) })
+	return slices.DeleteFunc(gates, func(g roster.Gate) bool { return s.table.IsAlive(g.VM) })
 }
 
 func (s *Service) callAll(ctx context.Context, gates []roster.Gate) (called int) {
--- a/internal/control/invite_test.go
+++ b/internal/control/invite_test.go
@@ -56,14 +56,14 @@
 	var lost, found calledGate
 	before := serviceIn(folder)
 	for vm, address := range map[string]string{"lost": lost.start(t), "found": found.start(t)} {
-		before.table.Hear(time.Now(), roster.Gate{VM: vm, Peers: address, Started: 1, Sequence: 1, Ready: true}, 0)
+		before.table.RecordReport(time.Now(), roster.Gate{VM: vm, Peers: address, Started: 1, Sequence: 1, Ready: true}, 0)
 	}
 	for until := time.Now().Add(5 * time.Second); time.Now().Before(until) && len(before.journal.load().Gates) < 2; {
 		before.keep() // does not wait for a slow disk for long
 	}
 
 	after := serviceIn(folder)
-	after.table.Hear(time.Now(), roster.Gate{VM: "found", Started: 2, Sequence: 1, Ready: true}, 0)
+	after.table.RecordReport(time.Now(), roster.Gate{VM: "found", Started: 2, Sequence: 1, Ready: true}, 0)
 	if _, known := after.snapshot(); len(known.Gates) != 2 {
 		t.Errorf("a second stop would leave %d gates known", len(known.Gates))
 	}
@@ -78,7 +78,7 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	after.mu.Lock()
-	after.table.Hear(time.Now(), roster.Gate{VM: "lost", Started: 2, Sequence: 1}, 0)
+	after.table.RecordReport(time.Now(), roster.Gate{VM: "lost", Started: 2, Sequence: 1}, 0)
 	after.mu.Unlock()
 	<-done
 	if lost.called() > 3 || found.called() > 0 {
--- a/internal/control/journal.go
+++ b/internal/control/journal.go
@@ -46,8 +46,8 @@
 
 // kept is the content of the file.
 type kept struct {
-	Replicas []roster.Heard `cbor:"1,keyasint"`
-	Gates    []roster.Gate  `cbor:"2,keyasint,omitempty"`
+	Replicas []roster.ReplicaReport `cbor:"1,keyasint"`
+	Gates    []roster.Gate          `cbor:"2,keyasint,omitempty"`
 }
 
 // load gives what was known; nothing if there is no file, or it is damaged:
--- a/internal/control/journal_test.go
+++ b/internal/control/journal_test.go
@@ -20,7 +20,7 @@
 	known := func() (uint64, kept) {
 		reads.Add(1)
 		at := version.Load()
-		return at, kept{Replicas: []roster.Heard{{Replica: upstream.Announcement{Replica: "r", Sequence: at}}}}
+		return at, kept{Replicas: []roster.ReplicaReport{{Replica: upstream.Announcement{Replica: "r", Sequence: at}}}}
 	}
 	var saving sync.WaitGroup
 	for range changes {
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -228,7 +228,7 @@
 	case roster.Changed:
 		s.logReplica("replica changed", &a)
 		s.keep()
-		s.push(ctx, &controlapi.ShareRequest{Replicas: []roster.Heard{{Replica: a}}})
+		s.push(ctx, &controlapi.ShareRequest{Replicas: []roster.ReplicaReport{{Replica: a}}})
 	}
 	return nil
 }
@@ -239,7 +239,7 @@
 func (s *Service) snapshot() (version uint64, known kept) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Version(), kept{Replicas: s.table.Replicas(time.Now()), Gates: s.gatesToKeep()}
+	return s.table.Version(), kept{Replicas: s.table.AllReplicaReports(time.Now()), Gates: s.gatesToKeep()}
 }
 
 // gatesToKeep gives the gates that live; right after the start also those that may
--- a/internal/control/share.go
+++ b/internal/control/share.go
@@ -130,8 +130,8 @@
 	defer s.mu.Unlock()
 	now := time.Now()
 	request := &controlapi.ShareRequest{
-		Replicas: s.table.Heard(now, s.renewalsDue(now)),
-		Gates:    s.table.HeardOf(now, slices.Collect(maps.Keys(s.heardGates))),
+		Replicas: s.table.ReplicaReports(now, s.renewalsDue(now)),
+		Gates:    s.table.GateReports(now, slices.Collect(maps.Keys(s.heardGates))),
 	}
 	clear(s.heardReplicas)
 	clear(s.heardGates)
@@ -232,14 +232,14 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		now := time.Now()
-		response.Replicas = s.table.Replicas(now)
-		response.Gates = s.table.HeardGates(now)
+		response.Replicas = s.table.AllReplicaReports(now)
+		response.Gates = s.table.AllGateReports(now)
 	}
 	return response, nil
 }
 
 // merge takes in what was heard elsewhere; it says whether any replica changed.
-func (s *Service) merge(replicas []roster.Heard, gates []roster.HeardGate) (changed bool) {
+func (s *Service) merge(replicas []roster.ReplicaReport, gates []roster.GateReport) (changed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -252,11 +252,11 @@
 	}
 	news := changed
 	for _, heard := range gates {
-		if heard.Silent {
-			news = s.table.Silence(&heard.Gate) || news
+		if heard.Unresponsive {
+			news = s.table.MarkUnresponsive(&heard.Gate) || news
 			continue
 		}
-		news = s.table.Hear(now, heard.Gate, heard.Age) || news
+		news = s.table.RecordReport(now, heard.Gate, heard.Age) || news
 	}
 	if news {
 		s.notify()
--- a/internal/control/silence.go
+++ b/internal/control/silence.go
@@ -38,7 +38,7 @@
 // checkSilent leaves a gate out that has asked nobody since its last report here.
 func (s *Service) checkSilent(ctx context.Context, gate *roster.Gate) {
 	s.mu.Lock()
-	silent := s.held[gate.VM] == 0 && s.table.Silence(gate)
+	silent := s.held[gate.VM] == 0 && s.table.MarkUnresponsive(gate)
 	if silent {
 		s.notify()
 	}
@@ -48,7 +48,7 @@
 	}
 	s.options.Metrics.Count("gates.silent")
 	s.options.Log.Info("gate silent, not named to callers", zap.String("gate", gate.VM), zap.Uint64("sequence", gate.Sequence))
-	s.spread(ctx, &controlapi.ShareRequest{Gates: []roster.HeardGate{{Gate: *gate, Silent: true}}})
+	s.spread(ctx, &controlapi.ShareRequest{Gates: []roster.GateReport{{Gate: *gate, Unresponsive: true}}})
 }
 
 // turnsHere notes a gate's question, and says whether the gate asked elsewhere before.
--- a/internal/control/spread.go
+++ b/internal/control/spread.go
@@ -39,8 +39,8 @@
 
 // parcel is the content of one call: the newest of each replica and gate.
 type parcel struct {
-	replicas   map[upstream.ReplicaID]roster.Heard
-	gates      map[string]roster.HeardGate
+	replicas   map[upstream.ReplicaID]roster.ReplicaReport
+	gates      map[string]roster.GateReport
 	left       map[upstream.ReplicaID]controlapi.Left
 	candidates []quorum.Member
 	done       chan struct{} // closes when the call has ended
@@ -128,7 +128,7 @@
 
 func newParcel() *parcel {
 	return &parcel{
-		replicas: make(map[upstream.ReplicaID]roster.Heard), gates: make(map[string]roster.HeardGate),
+		replicas: make(map[upstream.ReplicaID]roster.ReplicaReport), gates: make(map[string]roster.GateReport),
 		left: make(map[upstream.ReplicaID]controlapi.Left), done: make(chan struct{}),
 	}
 }
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -61,7 +61,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	phase := d.decide.Phase(time.Now(), d.inProgress)
-	if phase == directory.Finishes || phase == directory.Stopped {
+	if phase == directory.Finishing || phase == directory.Stopped {
 		return false
 	}
 	d.inProgress++
--- a/internal/daemon/gate.go
+++ b/internal/daemon/gate.go
@@ -35,7 +35,7 @@
 	front    *gate.Front
 	runner   *batch.Runner
 	draining *drain
-	orders   *orders.Shell // nil unless orders are enabled
+	orders   *orders.Reconciler // nil unless orders are enabled
 
 	stopBatch  context.CancelFunc
 	stopOthers context.CancelFunc
@@ -68,7 +68,7 @@
 		},
 		Metrics:        d.metrics,
 		SendUsage:      g.exchange.SendUsage,
-		Spread:         g.exchange.Spread,
+		Spread:         g.exchange.SpreadCrashReports,
 		DialTimeout:    s.Timeouts.Dial,
 		DefaultTimeout: s.Timeouts.Request,
 	})
@@ -93,7 +93,7 @@
 }
 
 // newOrders makes this gate's part in ordering the place's engines.
-func newOrders(d *Daemon, client *keeperclient.Client, g *gateRole) *orders.Shell {
+func newOrders(d *Daemon, client *keeperclient.Client, g *gateRole) *orders.Reconciler {
 	s := &d.settings
 	return orders.New(orders.Options{
 		Place:    s.VM.Place,
@@ -105,7 +105,7 @@
 		Metrics:  d.metrics,
 		Log:      d.log,
 		Order: order.Config{
-			LongestOrder:        s.Orders.LongestOrder,
+			MaxOrderDuration:    s.Orders.LongestOrder,
 			SendMargin:          s.Orders.Lease / 5,
 			StoreBytesPerSecond: s.Orders.StoreBytesPerSecond,
 		},
--- a/internal/daemon/sitegate.go
+++ b/internal/daemon/sitegate.go
@@ -105,7 +105,7 @@
 		Metrics:        site.metrics,
 		Log:            site.log.Logger,
 		SendUsage:      g.exchange.SendUsage,
-		Spread:         g.exchange.Spread,
+		Spread:         g.exchange.SpreadCrashReports,
 		Probe:          proxy.ProbeConnection,
 		DialTimeout:    s.Timeouts.Dial,
 		Unanswered:     s.Timeouts.Unanswered,
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -124,8 +124,8 @@
 	}{
 		{0, 0, directory.Lingering},
 		{14 * time.Second, 0, directory.Lingering},
-		{15 * time.Second, 1, directory.Finishes},
-		{74 * time.Second, 1, directory.Finishes},
+		{15 * time.Second, 1, directory.Finishing},
+		{74 * time.Second, 1, directory.Finishing},
 		{75 * time.Second, 0, directory.Stopped},
 		{5 * time.Minute, 1, directory.Stopped},
 	}
--- a/internal/directory/drain.go
+++ b/internal/directory/drain.go
@@ -9,7 +9,7 @@
 const (
 	Serving   Phase = 0 // not draining
 	Lingering Phase = 1 // not listed any more; still serves callers that use an earlier answer
-	Finishes  Phase = 2 // all answers that list the gate have expired; accepts no new requests, finishes running ones
+	Finishing Phase = 2 // all answers that list the gate have expired; accepts no new requests, finishes running ones
 	Stopped   Phase = 3 // no request is running, or the drain has reached its maximum time
 )
 
@@ -60,7 +60,7 @@
 	case age < d.config.Spread+d.config.Lifetime:
 		return Lingering
 	case inProgress > 0:
-		return Finishes
+		return Finishing
 	default:
 		return Stopped
 	}
--- a/internal/gate/exchange/calls.go
+++ b/internal/gate/exchange/calls.go
@@ -69,7 +69,7 @@
 // SpreadCrashReports sends crash reports to the gates of the own place and to one gate of
 // every other place, which relays them there. It returns when all have answered or ctx has
 // ended.
-func (e *Exchange) Spread(ctx context.Context, service string, reports []upstream.Strike) {
+func (e *Exchange) SpreadCrashReports(ctx context.Context, service string, reports []upstream.Strike) {
 	request := CrashReportsRequest{Service: service, Reports: reports}
 	var calls errgroup.Group
 	for _, address := range e.placeAddresses() {
--- a/internal/gate/orders/calls.go
+++ b/internal/gate/orders/calls.go
@@ -57,7 +57,7 @@
 
 // execute performs one action and passes the result to the orderer. An action that cannot
 // be sent before NotAfter is dropped: after the lease, another gate may send orders.
-func (s *Shell) execute(ctx context.Context, action *order.Action) {
+func (s *Reconciler) execute(ctx context.Context, action *order.Action) {
 	address, known := s.addressOf(action.Engine)
 	if !known || !time.Now().Before(action.NotAfter) {
 		return
@@ -72,23 +72,23 @@
 		return
 	}
 	if action.Read {
-		s.withOrderer(action.Engine, func(o *order.Orderer) { o.ReadBack(action.Engine, state) })
+		s.withOrderer(action.Engine, func(o *order.Orderer) { o.RecordState(action.Engine, state) })
 		return
 	}
 	s.options.Metrics.Count(countSent)
 	s.options.Log.Info("engine answered order", zap.String("engine", action.Engine), zap.String("kind", string(action.Order.Kind)),
 		zap.String("model", action.Order.Model.Name), zap.String("version", action.Order.Model.Version), zap.Uint64("fence", action.Fence))
-	s.withOrderer(action.Engine, func(o *order.Orderer) { o.Answered(action.Engine, state) })
+	s.withOrderer(action.Engine, func(o *order.Orderer) { o.ConfirmOrder(action.Engine, state) })
 }
 
-func (s *Shell) callTimeout(action *order.Action) time.Duration {
-	if action.Read || s.options.Order.LongestOrder == 0 {
+func (s *Reconciler) callTimeout(action *order.Action) time.Duration {
+	if action.Read || s.options.Order.MaxOrderDuration == 0 {
 		return max(time.Until(action.NotAfter), s.options.Step)
 	}
-	return s.options.Order.LongestOrder
+	return s.options.Order.MaxOrderDuration
 }
 
-func (s *Shell) handleFailure(action *order.Action, refused bool, err error) {
+func (s *Reconciler) handleFailure(action *order.Action, refused bool, err error) {
 	name := countFailed
 	if refused {
 		name = countRefused
@@ -96,12 +96,12 @@
 	s.options.Metrics.Count(name)
 	s.options.Log.Warn("cannot send an order to the engine or read its state", zap.String("engine", action.Engine), zap.String("kind", string(action.Order.Kind)),
 		zap.Bool("refused", refused), zap.Error(err))
-	s.withOrderer(action.Engine, func(o *order.Orderer) { o.Failed(action.Engine, refused) })
+	s.withOrderer(action.Engine, func(o *order.Orderer) { o.RecordFailure(action.Engine, refused) })
 }
 
 // call sends the action. refused is true if the engine answered that it did not carry out
 // the order.
-func (s *Shell) call(ctx context.Context, address string, action *order.Action) (state order.State, refused bool, err error) {
+func (s *Reconciler) call(ctx context.Context, address string, action *order.Action) (state order.State, refused bool, err error) {
 	request, err := newRequest(ctx, address, action)
 	if err != nil {
 		return order.State{}, false, err
--- a/internal/gate/orders/shell.go
+++ b/internal/gate/orders/shell.go
@@ -66,7 +66,7 @@
 
 // Reconciler orders the engines of a place while it holds the tenure. It is safe for
 // concurrent use.
-type Shell struct {
+type Reconciler struct {
 	options Options
 
 	mu       sync.Mutex
@@ -81,15 +81,15 @@
 }
 
 // New creates a Reconciler.
-func New(options Options) *Shell {
-	return &Shell{options: options, services: make(map[string]*order.Orderer), engines: make(map[string]knownEngine)}
+func New(options Options) *Reconciler {
+	return &Reconciler{options: options, services: make(map[string]*order.Orderer), engines: make(map[string]knownEngine)}
 }
 
 // tenurePrefix is the prefix of the name of a place's tenure.
 const tenurePrefix = "orders/"
 
 // Run renews the tenure and sends orders until ctx ends, then releases the tenure.
-func (s *Shell) Run(ctx context.Context) {
+func (s *Reconciler) Run(ctx context.Context) {
 	ticker := time.NewTicker(s.options.Step)
 	defer ticker.Stop()
 	var calls sync.WaitGroup
@@ -116,7 +116,7 @@
 )
 
 // reconcile renews the tenure and, while it is held, starts the actions that are due.
-func (s *Shell) reconcile(ctx context.Context, calls *sync.WaitGroup) {
+func (s *Reconciler) reconcile(ctx context.Context, calls *sync.WaitGroup) {
 	acquireCtx, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
 	// The lease is counted from the request. Counted from the response, it could outlast the
@@ -126,14 +126,14 @@
 	if err != nil || response.Fence == 0 {
 		return
 	}
-	tenure := order.Tenure{Fence: response.Fence, Since: time.Now(), Until: requestedAt.Add(response.Lease)}
+	tenure := order.Lease{Fence: response.Fence, Since: time.Now(), Until: requestedAt.Add(response.Lease)}
 	for _, action := range s.decide(tenure) {
 		calls.Go(func() { s.execute(ctx, &action) })
 	}
 }
 
 // decide updates the orderers from the current state and returns the actions to execute.
-func (s *Shell) decide(tenure order.Tenure) []order.Action {
+func (s *Reconciler) decide(tenure order.Lease) []order.Action {
 	replicas := s.options.Router.Upstreams()
 	wants := collectWants(s.options.Policies.Policies(), s.options.WeightBytes)
 	s.mu.Lock()
@@ -141,7 +141,7 @@
 	s.updateEngines(replicas)
 	var actions []order.Action
 	for service, orderer := range s.services {
-		orderer.Grant(tenure)
+		orderer.SetLease(tenure)
 		orderer.SetWants(addDemand(wants[service], service, replicas))
 		actions = append(actions, orderer.Step(time.Now())...)
 		for _, blocked := range orderer.Blocked() {
@@ -153,7 +153,7 @@
 }
 
 // updateEngines passes the engines of the place to their orderers and removes lost ones.
-func (s *Shell) updateEngines(replicas []proxy.Replica) {
+func (s *Reconciler) updateEngines(replicas []proxy.Replica) {
 	seen := make(map[string]bool)
 	for i := range replicas {
 		replica := &replicas[i]
@@ -163,7 +163,7 @@
 		name := string(replica.Replica)
 		seen[name] = true
 		s.engines[name] = knownEngine{service: replica.Service, address: replica.Address}
-		s.ordererOf(replica.Service).Announce(order.Engine{
+		s.ordererOf(replica.Service).UpdateEngine(order.Engine{
 			Name:          name,
 			Incarnation:   replica.Incarnation,
 			Ready:         replica.Ready && !replica.Suspect,
@@ -183,7 +183,7 @@
 	}
 }
 
-func (s *Shell) ordererOf(service string) *order.Orderer {
+func (s *Reconciler) ordererOf(service string) *order.Orderer {
 	orderer := s.services[service]
 	if orderer == nil {
 		orderer = order.New(s.options.Order)
@@ -193,7 +193,7 @@
 }
 
 // withOrderer calls fn with the orderer of an engine if the engine is still known.
-func (s *Shell) withOrderer(engine string, fn func(*order.Orderer)) {
+func (s *Reconciler) withOrderer(engine string, fn func(*order.Orderer)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if known, found := s.engines[engine]; found {
@@ -201,7 +201,7 @@
 	}
 }
 
-func (s *Shell) addressOf(engine string) (string, bool) {
+func (s *Reconciler) addressOf(engine string) (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	known, found := s.engines[engine]
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -86,12 +86,12 @@
 }
 
 func newOrderer(fence uint64, since time.Time, wants []order.Want, engines ...*fakeEngine) *order.Orderer {
-	o := order.New(order.Config{LongestOrder: 10 * time.Second})
+	o := order.New(order.Config{MaxOrderDuration: 10 * time.Second})
 	o.SetWants(wants)
 	for _, e := range engines {
-		o.Announce(e.Engine)
+		o.UpdateEngine(e.Engine)
 	}
-	o.Grant(order.Tenure{Fence: fence, Since: since, Until: since.Add(time.Hour)})
+	o.SetLease(order.Lease{Fence: fence, Since: since, Until: since.Add(time.Hour)})
 	return o
 }
 
@@ -101,7 +101,7 @@
 	for _, action := range actions {
 		i := slices.IndexFunc(engines, func(e *fakeEngine) bool { return e.Name == action.Engine })
 		if action.Read {
-			o.ReadBack(action.Engine, engines[i].read())
+			o.RecordState(action.Engine, engines[i].read())
 			continue
 		}
 		engines[i].arrived = append(engines[i].arrived, arrival{action.Order, action.Fence, now.Add(delay)})
@@ -187,7 +187,7 @@
 		}
 	}
 	ending := newOrderer(3, start, []order.Want{{Model: v1, Min: 1}}, engine)
-	ending.Grant(order.Tenure{Fence: 3, Since: start, Until: start.Add(time.Second)})
+	ending.SetLease(order.Lease{Fence: 3, Since: start, Until: start.Add(time.Second)})
 	g.Expect(ending.Step(start)).To(BeEmpty())
 }
 
--- a/internal/order/orderer.go
+++ b/internal/order/orderer.go
@@ -10,7 +10,7 @@
 // Orderer plans the orders for the engines of a place. It is not safe for concurrent use.
 type Orderer struct {
 	config         Config
-	lease          Tenure
+	lease          Lease
 	superseded     bool // an engine has received a greater fencing number
 	engines        []*engine
 	wants          []Want
@@ -50,7 +50,7 @@
 
 // SetLease records a new or renewed lease. A new fencing number discards all state read
 // before, because another orderer may have been active in between.
-func (o *Orderer) Grant(lease Tenure) {
+func (o *Orderer) SetLease(lease Lease) {
 	if lease.Fence == o.lease.Fence {
 		o.lease.Until = lease.Until
 		return
@@ -65,7 +65,7 @@
 
 // UpdateEngine records an engine's announcement. If the engine has restarted, its known
 // state is discarded and queried again.
-func (o *Orderer) Announce(announced Engine) {
+func (o *Orderer) UpdateEngine(announced Engine) {
 	i, found := o.find(announced.Name)
 	if !found {
 		o.engines = slices.Insert(o.engines, i, &engine{Engine: announced})
@@ -97,7 +97,7 @@
 }
 
 // RecordState records an engine's answer to a state query.
-func (o *Orderer) ReadBack(name string, state State) {
+func (o *Orderer) RecordState(name string, state State) {
 	i, found := o.find(name)
 	if !found {
 		return
@@ -119,7 +119,7 @@
 // RecordFailure records the failure of an order or state query. If the engine rejected the
 // order, its state is queried again immediately; if the outcome is unknown, only after
 // MaxOrderDuration.
-func (o *Orderer) Failed(name string, refused bool) {
+func (o *Orderer) RecordFailure(name string, refused bool) {
 	i, found := o.find(name)
 	if !found {
 		return
@@ -133,7 +133,7 @@
 }
 
 // ConfirmOrder records an engine's confirmation that the pending order took effect.
-func (o *Orderer) Answered(name string, state State) {
+func (o *Orderer) ConfirmOrder(name string, state State) {
 	i, found := o.find(name)
 	if !found || o.engines[i].pending == nil {
 		return
@@ -181,7 +181,7 @@
 	if e.ChecksFencing || o.ignoreInFlight {
 		return o.lease.Since
 	}
-	return o.lease.Since.Add(o.config.LongestOrder)
+	return o.lease.Since.Add(o.config.MaxOrderDuration)
 }
 
 // stateQueries returns the state queries that are due: for engines that were never
@@ -203,7 +203,7 @@
 	if !e.queryStarted.IsZero() && now.Sub(e.queryStarted) < o.config.QueryInterval {
 		return false // in progress
 	}
-	if e.pending != nil && now.Sub(e.sentAt) < o.config.LongestOrder {
+	if e.pending != nil && now.Sub(e.sentAt) < o.config.MaxOrderDuration {
 		return false
 	}
 	needed := e.queriedAt.Before(o.ordersAllowedFrom(e)) && !now.Before(o.ordersAllowedFrom(e))
--- a/internal/order/types.go
+++ b/internal/order/types.go
@@ -79,7 +79,7 @@
 
 // Lease is the exclusive right to send orders in a place, with times of the holder's
 // own clock.
-type Tenure struct {
+type Lease struct {
 	Fence uint64
 	Since time.Time // when the grant was received
 	Until time.Time // end of the lease, counted from before it was requested
@@ -100,7 +100,7 @@
 type Config struct {
 	// MaxOrderDuration is the longest time from sending an order until it has either
 	// taken effect or never will, including network delays.
-	LongestOrder time.Duration
+	MaxOrderDuration time.Duration
 	// SendMargin is the time before the end of the lease in which no order is sent.
 	SendMargin        time.Duration
 	QueryInterval     time.Duration // interval of state queries to each engine
@@ -121,7 +121,7 @@
 )
 
 func (c Config) withDefaults() Config {
-	c.LongestOrder = orDefault(c.LongestOrder, DefaultMaxOrderDuration)
+	c.MaxOrderDuration = orDefault(c.MaxOrderDuration, DefaultMaxOrderDuration)
 	c.SendMargin = orDefault(c.SendMargin, DefaultSendMargin)
 	c.QueryInterval = orDefault(c.QueryInterval, DefaultQueryInterval)
 	c.ScaleDownDelay = orDefault(c.ScaleDownDelay, DefaultScaleDownDelay)
--- a/internal/quorum/fault_test.go
+++ b/internal/quorum/fault_test.go
@@ -140,7 +140,7 @@
 		}
 	}
 	for _, to := range outbox.Snapshots {
-		meta, _ := n.MetaAt(n.Applied())
+		meta, _ := n.SnapshotMetaAt(n.Applied())
 		r.network = append(r.network, Message{Type: MsgSnapshot, From: id, To: to, Term: n.Term(), Snapshot: &meta})
 		n.ReportSnapshot(to, meta.Index)
 	}
--- a/internal/quorum/node.go
+++ b/internal/quorum/node.go
@@ -120,7 +120,7 @@
 // membership of its group, and reports whether it did. It never lowers the term, since
 // a message of a leader may have raised it already. No vote was cast in that term,
 // because a member with an empty log grants no votes.
-func (n *Node) Begin(initial Membership) bool {
+func (n *Node) SetInitialMembership(initial Membership) bool {
 	if !n.Empty() {
 		return false
 	}
@@ -159,7 +159,7 @@
 // SetDiskStalled records whether the caller's disk has stopped responding. A leader
 // with a stalled disk steps down: it applies only what it has synced, so it would
 // keep leading by heartbeats alone and answer no proposal.
-func (n *Node) SetStalled(stalled bool) {
+func (n *Node) SetDiskStalled(stalled bool) {
 	n.diskStalled = stalled
 	if stalled && n.role == Leader {
 		n.becomeFollower(n.term, None)
@@ -320,7 +320,7 @@
 
 // SnapshotMetaAt returns the metadata of a snapshot of the entries up to index, and
 // false if the log does not hold the entry at index.
-func (n *Node) MetaAt(index uint64) (SnapshotMeta, bool) {
+func (n *Node) SnapshotMetaAt(index uint64) (SnapshotMeta, bool) {
 	term, ok := n.log.term(index)
 	return SnapshotMeta{Index: index, Term: term, Membership: n.log.membershipAt(index)}, ok
 }
--- a/internal/quorum/quorum_test.go
+++ b/internal/quorum/quorum_test.go
@@ -58,7 +58,7 @@
 			b.queue = append(b.queue, outbox.Messages...)
 			b.reads[id] = append(b.reads[id], outbox.Reads...)
 			for _, to := range outbox.Snapshots {
-				meta, _ := node.MetaAt(node.Applied())
+				meta, _ := node.SnapshotMetaAt(node.Applied())
 				b.queue = append(b.queue, Message{Type: MsgSnapshot, From: id, To: to, Term: node.Term(), Snapshot: &meta})
 			}
 			if ready, ok := node.Ready(); ok {
--- a/internal/quorum/replication.go
+++ b/internal/quorum/replication.go
@@ -226,7 +226,7 @@
 }
 
 // InstallingSnapshot reports whether an accepted snapshot waits for Ready.
-func (n *Node) Installing() bool { return n.installed != nil }
+func (n *Node) InstallingSnapshot() bool { return n.installed != nil }
 
 // ReportSnapshot ends a snapshot transfer requested by Outbox.Snapshots: the snapshot at
 // index has arrived, or the transfer failed if index is zero.
--- a/internal/replica/snapshot.go
+++ b/internal/replica/snapshot.go
@@ -27,7 +27,7 @@
 		return fmt.Errorf("snapshot: %w", err)
 	}
 	g.mu.Lock()
-	meta, ok := g.node.MetaAt(g.applied)
+	meta, ok := g.node.SnapshotMetaAt(g.applied)
 	g.mu.Unlock()
 	if !ok {
 		return nil // a snapshot of the leader has just replaced the log
--- a/internal/roster/gates.go
+++ b/internal/roster/gates.go
@@ -63,7 +63,7 @@
 
 // RecordReport applies a gate's report that was made age ago. It reports whether followers
 // must be notified.
-func (t *Table) Hear(now time.Time, g Gate, age time.Duration) bool {
+func (t *Table) RecordReport(now time.Time, g Gate, age time.Duration) bool {
 	row := t.gates[g.VM]
 	if row == nil {
 		row = &gateRow{expired: true}
@@ -82,7 +82,7 @@
 
 // MarkUnresponsive removes a gate that has not reported since the given report from the live
 // gates until its next report. It reports whether followers must be notified.
-func (t *Table) Silence(g *Gate) bool {
+func (t *Table) MarkUnresponsive(g *Gate) bool {
 	row := t.gates[g.VM]
 	if row == nil || row.expired || row.gate.newer(g) {
 		return false
@@ -101,7 +101,7 @@
 
 // IncludeAllGates replaces the changed gates by all live gates, for a follower that supports
 // whole lists only.
-func (t *Table) AllGates(changes *Changes) {
+func (t *Table) IncludeAllGates(changes *Changes) {
 	if len(changes.Gates)+len(changes.GatesGone) == 0 {
 		return
 	}
@@ -150,33 +150,33 @@
 }
 
 // IsAlive reports whether a gate has reported within its lifetime.
-func (t *Table) Lives(vm string) bool {
+func (t *Table) IsAlive(vm string) bool {
 	row := t.gates[vm]
 	return row != nil && !row.expired
 }
 
 // GateReport is a gate's report with its age.
-type HeardGate struct {
+type GateReport struct {
 	Gate Gate          `cbor:"1,keyasint"`
 	Age  time.Duration `cbor:"2,keyasint"`
 	// Unresponsive reports that the gate has sent no request to any control VM since this report.
-	Silent bool `cbor:"3,keyasint,omitempty"`
+	Unresponsive bool `cbor:"3,keyasint,omitempty"`
 }
 
 // AllGateReports returns the reports of all live gates with their age.
-func (t *Table) HeardGates(now time.Time) []HeardGate {
-	return t.HeardOf(now, slices.Collect(maps.Keys(t.gates)))
+func (t *Table) AllGateReports(now time.Time) []GateReport {
+	return t.GateReports(now, slices.Collect(maps.Keys(t.gates)))
 }
 
 // GateReports returns the reports of those of the given gates that are alive, sorted by VM,
 // with their age.
-func (t *Table) HeardOf(now time.Time, vms []string) []HeardGate {
-	var reports []HeardGate
+func (t *Table) GateReports(now time.Time, vms []string) []GateReport {
+	var reports []GateReport
 	for _, vm := range vms {
 		if row := t.gates[vm]; row != nil && !row.expired {
-			reports = append(reports, HeardGate{Gate: row.gate, Age: max(0, now.Sub(row.lastReport))})
+			reports = append(reports, GateReport{Gate: row.gate, Age: max(0, now.Sub(row.lastReport))})
 		}
 	}
-	slices.SortFunc(reports, func(a, b HeardGate) int { return compareVM(a.Gate, b.Gate) })
+	slices.SortFunc(reports, func(a, b GateReport) int { return compareVM(a.Gate, b.Gate) })
 	return reports
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -242,26 +242,26 @@
 }
 
 // ReplicaReport is a replica's announcement with its age, as shared between control VMs.
-type Heard struct {
+type ReplicaReport struct {
 	Replica upstream.Announcement `cbor:"1,keyasint"`
 	Age     time.Duration         `cbor:"2,keyasint"`
 }
 
 // AllReplicaReports returns the announcements of all live replicas with the age of their last
 // heartbeat.
-func (t *Table) Replicas(now time.Time) []Heard {
-	return t.Heard(now, slices.Collect(maps.Keys(t.replicas)))
+func (t *Table) AllReplicaReports(now time.Time) []ReplicaReport {
+	return t.ReplicaReports(now, slices.Collect(maps.Keys(t.replicas)))
 }
 
 // ReplicaReports returns the announcements of those of the given replicas that are alive,
 // sorted by ID, with the age of their last heartbeat.
-func (t *Table) Heard(now time.Time, ids []upstream.ReplicaID) []Heard {
-	var reports []Heard
+func (t *Table) ReplicaReports(now time.Time, ids []upstream.ReplicaID) []ReplicaReport {
+	var reports []ReplicaReport
 	for _, id := range ids {
 		if row := t.replicas[id]; row != nil && !row.removed {
-			reports = append(reports, Heard{Replica: row.announcement, Age: max(0, now.Sub(row.lastHeartbeat))})
+			reports = append(reports, ReplicaReport{Replica: row.announcement, Age: max(0, now.Sub(row.lastHeartbeat))})
 		}
 	}
-	slices.SortFunc(reports, func(a, b Heard) int { return cmp.Compare(a.Replica.Replica, b.Replica.Replica) })
+	slices.SortFunc(reports, func(a, b ReplicaReport) int { return cmp.Compare(a.Replica.Replica, b.Replica.Replica) })
 	return reports
 }
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -102,19 +102,19 @@
 func TestASilentGateIsNotNamed(t *testing.T) {
 	r := table()
 	gate := roster.Gate{VM: "gate-1", Callers: "10.0.0.1:80", Started: 5, Sequence: 1, Ready: true}
-	if !r.Hear(start, gate, 0) || r.Hear(start, gate, 0) {
+	if !r.RecordReport(start, gate, 0) || r.RecordReport(start, gate, 0) {
 		t.Fatal("want a change for the first report only")
 	}
 	r.Tick(start.Add(3 * time.Second))
 	if len(r.Gates()) != 0 {
 		t.Fatal("the gate is listed after its lifetime")
 	}
-	r.Hear(start.Add(3*time.Second), gate, 3*time.Second)
+	r.RecordReport(start.Add(3*time.Second), gate, 3*time.Second)
 	if len(r.Gates()) != 0 {
 		t.Fatal("an old report made the gate listed again")
 	}
 	gate.Sequence = 2
-	if !r.Hear(start.Add(4*time.Second), gate, 0) || len(r.Gates()) != 1 {
+	if !r.RecordReport(start.Add(4*time.Second), gate, 0) || len(r.Gates()) != 1 {
 		t.Fatal("the gate is not listed after a new report")
 	}
 }
@@ -125,14 +125,14 @@
 	gate := func(vm string, sequence uint64) roster.Gate {
 		return roster.Gate{VM: vm, Started: 5, Sequence: sequence, Ready: true}
 	}
-	r.Hear(start, gate("gate-1", 1), 0)
-	r.Hear(start, gate("gate-2", 1), 0)
+	r.RecordReport(start, gate("gate-1", 1), 0)
+	r.RecordReport(start, gate("gate-2", 1), 0)
 	first := r.Since(0)
 	if !first.HasGates || len(first.Gates) != 2 {
 		t.Fatalf("%+v", first)
 	}
-	r.Hear(start.Add(3*time.Second), gate("gate-3", 1), 0)
-	r.Hear(start.Add(3*time.Second), gate("gate-2", 2), 0)
+	r.RecordReport(start.Add(3*time.Second), gate("gate-3", 1), 0)
+	r.RecordReport(start.Add(3*time.Second), gate("gate-2", 2), 0)
 	r.Tick(start.Add(3 * time.Second))
 	later := r.Since(first.Version)
 	if later.HasGates || len(later.Gates) != 1 || len(later.GatesGone) != 1 || later.GatesGone[0] != "gate-1" {
@@ -142,7 +142,7 @@
 	if len(known) != 2 || known[0].VM != "gate-2" || known[1].VM != "gate-3" {
 		t.Errorf("%+v", known)
 	}
-	r.AllGates(&later)
+	r.IncludeAllGates(&later)
 	if !later.HasGates || len(later.Gates) != 2 || len(later.GatesGone) != 0 {
 		t.Errorf("a follower that supports whole lists only gets %+v", later)
 	}
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -126,11 +126,11 @@
 
 // Append writes records and returns when they are synced. Calls that arrive during a sync
 // share the next one.
-func (l *Log) Append(records []Record) error { return <-l.Start(records) }
+func (l *Log) Append(records []Record) error { return <-l.StartAppend(records) }
 
 // StartAppend queues records, in the order of the calls, and returns a channel that
 // receives the result once they are synced.
-func (l *Log) Start(records []Record) <-chan error {
+func (l *Log) StartAppend(records []Record) <-chan error {
 	call := &appendCall{records: records, result: make(chan error, 1)}
 	l.mu.Lock()
 	defer l.mu.Unlock()
