--- a/internal/gate/authenticate.go
+++ b/internal/gate/authenticate.go
@@ -22,8 +22,8 @@
 const (
 	// confirmTimeout bounds the question whether an unknown key is new.
 	confirmTimeout = 700 * time.Millisecond
-	// confirmRetry is when to come back if there was no answer to it.
-	confirmRetry = 300 * time.Millisecond
+	// confirmRetryAfter is when to come back if there was no answer to it.
+	confirmRetryAfter = 300 * time.Millisecond
 )
 
 // Authenticate finds the team that holds a key. The team is empty where callers show
@@ -32,7 +32,7 @@
 // To callers an unknown key is final, so a gate that does not know one first asks
 // whether it has the newest routes: an operator may just have added the key.
 func (f *Routed) Authenticate(ctx context.Context, requestID, key string, anonymous bool) (routes.Team, *apierr.Error) {
-	matcher := f.firstRoutes(ctx)
+	matcher := f.awaitRoutes(ctx)
 	if team := matcher.TeamOf(key); team != nil {
 		return *team, nil
 	}
@@ -41,7 +41,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	unconfirmed := f.confirm(ctx, matcher, key)
+	unconfirmed := f.confirmRoutes(ctx, matcher, key)
 	matcher = f.source.Routes()
 	if team := matcher.TeamOf(key); team != nil {
 		return *team, nil
@@ -53,8 +53,8 @@
 	return routes.Team{}, refusal
 }
 
-// confirm makes sure that the routes are the newest; a missing key needs no question.
-func (f *Routed) confirm(ctx context.Context, matcher *routes.Matcher, key string) error {
+// confirmRoutes makes sure that the routes are the newest; a missing key needs no question.
+func (f *Routed) confirmRoutes(ctx context.Context, matcher *routes.Matcher, key string) error {
 	if key == "" && matcher.Version() > 0 {
 		return nil
 	}
@@ -65,7 +65,7 @@
 	switch {
 	case unconfirmed != nil:
 		return apierr.New(apierr.Unavailable, ReasonKeyUnconfirmed, "use another gate or come back",
-			"no team of version %d of the routes has the key, and this gate may not have the newest", version).WithRetryAfter(confirmRetry)
+			"no team of version %d of the routes has the key, and this gate may not have the newest", version).WithRetryAfter(confirmRetryAfter)
 	case key == "":
 		return apierr.New(apierr.Unauthorized, ReasonNoKey, "send a key of your team", "the request has no key")
 	default:
--- a/internal/gate/authenticate_test.go
+++ b/internal/gate/authenticate_test.go
@@ -23,7 +23,7 @@
 	s := newSource()
 	s.matcher.Store(withTeams(3, "old"))
 	s.confirming = func() { s.matcher.Store(withTeams(4, "old", "new")) }
-	front, _ := routed(s)
+	front, _ := newRouted(s)
 	team, refusal := front.Authenticate(t.Context(), "r1", "new", false)
 	if refusal != nil || team.Name != "council" {
 		t.Fatalf("%+v, %v", team, refusal)
@@ -35,7 +35,7 @@
 	s := newSource()
 	s.matcher.Store(withTeams(3, "old"))
 	s.unconfirmed = errors.New("no control VM answers")
-	front, _ := routed(s)
+	front, _ := newRouted(s)
 	_, refusal := front.Authenticate(t.Context(), "r1", "new", false)
 	if refusal == nil || refusal.Kind != apierr.Unavailable || refusal.RetryAfter == 0 || refusal.Ran != apierr.RanNo {
 		t.Fatalf("%+v", refusal)
@@ -48,7 +48,7 @@
 	s.matcher.Store(withTeams(3, "old"))
 	asked := 0
 	s.confirming = func() { asked++ }
-	front, _ := routed(s)
+	front, _ := newRouted(s)
 	for key, want := range map[string]apierr.Reason{"old": "", "": gate.ReasonNoKey, "nobody": gate.ReasonUnknownKey} {
 		_, refusal := front.Authenticate(t.Context(), "r1", key, false)
 		if (refusal == nil) != (want == "") || refusal != nil && refusal.Reason != want {
@@ -63,8 +63,8 @@
 // Guards against keys that are asked for where the routes name no teams.
 func TestWhereThereAreNoTeamsNoKeyIsNeeded(t *testing.T) {
 	s := newSource()
-	s.come()
-	front, _ := routed(s)
+	s.publishRoutes()
+	front, _ := newRouted(s)
 	if team, refusal := front.Authenticate(t.Context(), "r1", "anything", false); refusal != nil || team.Name != "" {
 		t.Fatalf("%+v, %v", team, refusal)
 	}
--- a/internal/gate/batch/fence.go
+++ b/internal/gate/batch/fence.go
@@ -7,16 +7,16 @@
 	"slateway.example/slateway/internal/apierr"
 )
 
-// ReasonLeaseOut is why an item is stopped that other gates may hold by now.
-const ReasonLeaseOut apierr.Reason = "lease_out"
+// ReasonItemLeaseExpired is why an item is stopped that other gates may hold by now.
+const ReasonItemLeaseExpired apierr.Reason = "lease_out"
 
 const (
 	// fenceShare is the part of a session's lifetime after which its items stop
 	// without a renewal. The rest covers the way of an attempt that is just being
 	// sent and the pace at which the fence is looked at.
 	fenceShare = 0.85
-	// fenceLooks is how often the fence is looked at in a session's lifetime.
-	fenceLooks = 30
+	// fenceChecks is how often the fence is looked at in a session's lifetime.
+	fenceChecks = 30
 )
 
 // fence says whether the gate may still run the items that it has leased.
@@ -40,11 +40,11 @@
 	f.renewed = sent
 }
 
-// close says that the keepers have ended the session.
-func (f *fence) close() { f.renew(time.Time{}) }
+// invalidate says that the keepers have ended the session.
+func (f *fence) invalidate() { f.renew(time.Time{}) }
 
-// open reports whether items may run at that time.
-func (f *fence) open(now time.Time) bool {
+// valid reports whether items may run at that time.
+func (f *fence) valid(now time.Time) bool {
 	if f.lifetime <= 0 {
 		return true
 	}
@@ -58,7 +58,7 @@
 	return now.Sub(f.renewed)
 }
 
-func leaseOut() *apierr.Error {
-	return apierr.New(apierr.Unavailable, ReasonLeaseOut, "see why the gate could not renew its session with the keepers",
+func leaseExpired() *apierr.Error {
+	return apierr.New(apierr.Unavailable, ReasonItemLeaseExpired, "see why the gate could not renew its session with the keepers",
 		"the gate may no longer hold the item").WithRan(apierr.RanUnknown)
 }
--- a/internal/gate/batch/fence_test.go
+++ b/internal/gate/batch/fence_test.go
@@ -17,8 +17,8 @@
 
 const sessionLifetime = 300 * time.Millisecond
 
-// startFenced runs a Runner whose session lasts for sessionLifetime.
-func startFenced(k *keepers, e *engines) (stop func()) {
+// startWithLifetime runs a Runner whose session lasts for sessionLifetime.
+func startWithLifetime(k *keepers, e *engines) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	runner := batch.New(batch.Options{
 		Session: k, Router: e, Policies: noPolicies{}, Log: zap.NewNop(),
@@ -36,11 +36,11 @@
 	}
 }
 
-// stuck runs items that end only when they are stopped, and says how far they
+// runUntilStopped runs items that end only when they are stopped, and says how far they
 // came and whether they may go on when asked right before an attempt.
-func stuck(started chan<- func() *apierr.Error) *engines {
+func runUntilStopped(started chan<- func() *apierr.Error) *engines {
 	return &engines{run: func(ctx context.Context, item proxy.BatchItem) (proxy.BatchResult, error) {
-		started <- item.Held
+		started <- item.CheckLease
 		<-ctx.Done()
 		return proxy.BatchResult{Outcome: proxy.BatchNotRun, Body: []byte("half"), Reached: 4}, ctx.Err()
 	}}
@@ -58,7 +58,7 @@
 	}
 	k := &keepers{items: items}
 	started := make(chan func() *apierr.Error, 8)
-	stop := startFenced(k, stuck(started))
+	stop := startWithLifetime(k, runUntilStopped(started))
 	defer stop()
 	var held func() *apierr.Error
 	for range 2 {
@@ -70,7 +70,7 @@
 	k.loseContact(errors.New("no keeper answered"))
 	g.Eventually(k.reported).WithTimeout(10 * time.Second).Should(HaveLen(2))
 	g.Expect(time.Since(lost)).To(BeNumerically(">", sessionLifetime/2), "a short loss of contact stops nothing")
-	g.Expect(held().Reason).To(Equal(batch.ReasonLeaseOut), "no attempt starts either")
+	g.Expect(held().Reason).To(Equal(batch.ReasonItemLeaseExpired), "no attempt starts either")
 	for _, result := range k.reported() {
 		g.Expect(result.Outcome).To(Equal(job.OutcomeReturned))
 		g.Expect(string(result.Partial)).To(Equal("half"))
@@ -85,7 +85,7 @@
 	g := NewWithT(t)
 	k := &keepers{items: leased("job-a", 2)}
 	started := make(chan func() *apierr.Error, 8)
-	stop := startFenced(k, stuck(started))
+	stop := startWithLifetime(k, runUntilStopped(started))
 	defer stop()
 	g.Eventually(started).WithTimeout(10 * time.Second).Should(Receive())
 	lost := time.Now()
--- a/internal/gate/batch/item.go
+++ b/internal/gate/batch/item.go
@@ -27,13 +27,13 @@
 		return // the job has ended; the keepers have dropped the lease
 	}
 	reported := job.Result{Job: lease.Job, Item: lease.Item, Attempt: lease.Attempt, CustomID: item.CustomID}
-	complete(&reported, lease, &result, err)
+	setOutcome(&reported, lease, &result, err)
 	r.logEnd(leased, &reported, began)
 	leaving := result.Err != nil && result.Err.Reason == route.ReasonDraining
 	if reported.Outcome == job.OutcomeReturned && !leaving {
 		// The keepers lease a returned item again at once. Without a pause it
 		// would come back here as fast as it is refused.
-		pause(ctx, returnPause)
+		sleep(ctx, returnPause)
 	}
 	r.results.add(reported)
 }
@@ -49,14 +49,14 @@
 }
 
 func (r *Runner) run(ctx context.Context, leased *keeperapi.LeasedItem) (proxy.BatchResult, error) {
-	item, err := r.routed(leased)
+	item, err := r.batchItem(leased)
 	if err != nil {
 		return proxy.BatchResult{Outcome: proxy.BatchNotRun, Err: apierr.From(err)}, nil
 	}
-	item.Held = r.heldItem
+	item.CheckLease = r.checkLease
 	if leased.Lease.OnlyAnswersCount {
 		item.SaveEvery = saveInterval
-		item.Save = func(piece proxy.Piece) { r.save(&leased.Lease, piece) }
+		item.Save = func(piece proxy.PartialAnswer) { r.savePartial(&leased.Lease, piece) }
 	}
 	return r.options.Router.RunBatch(ctx, item)
 }
@@ -70,20 +70,20 @@
 // once in a piece and once in the result.
 const saveInterval = 1500 * time.Millisecond
 
-// save reports a piece of an item's answer. If its report is lost, so are those of
+// savePartial reports a piece of an item's answer. If its report is lost, so are those of
 // the pieces after it, and the item goes on from the last one that was taken.
-func (r *Runner) save(lease *job.Leased, piece proxy.Piece) {
+func (r *Runner) savePartial(lease *job.Leased, piece proxy.PartialAnswer) {
 	r.results.add(job.Result{
 		Job: lease.Job, Item: lease.Item, Attempt: lease.Attempt, Outcome: job.OutcomeReached,
 		From: piece.From, Reached: piece.Reached, Partial: []byte(piece.Text),
 	})
 }
 
-func (r *Runner) routed(leased *keeperapi.LeasedItem) (proxy.BatchItem, error) {
+func (r *Runner) batchItem(leased *keeperapi.LeasedItem) (proxy.BatchItem, error) {
 	if r.options.Route != nil {
 		return r.options.Route(leased)
 	}
-	return r.byPolicy(&leased.Lease, &leased.Item), nil
+	return r.itemByPolicy(&leased.Lease, &leased.Item), nil
 }
 
 // returnPause is how long an item that cannot run here is kept before it is
@@ -94,26 +94,26 @@
 // a late result is worth more than none.
 const graceAfterDeadline = time.Hour
 
-// byPolicy gives how an item is run by the policy of its team.
-func (r *Runner) byPolicy(lease *job.Leased, item *job.Item) proxy.BatchItem {
+// itemByPolicy gives how an item is run by the policy of its team.
+func (r *Runner) itemByPolicy(lease *job.Leased, item *job.Item) proxy.BatchItem {
 	deadline := time.Now().Add(graceAfterDeadline)
 	if due := lease.Deadline.Time(); due.After(deadline) {
 		deadline = due
 	}
 	return proxy.BatchItem{
-		Due:        lease.Deadline.Time(),
-		Takes:      lease.Takes,
-		ID:         fmt.Sprintf("%s/%d/%d", lease.Job, lease.Item, lease.Attempt),
-		Team:       lease.Team,
-		Service:    lease.Queue.Service,
-		Model:      lease.Queue.Model,
-		Version:    lease.Queue.Version,
-		Path:       item.Endpoint,
-		Plain:      lease.Queue.Model == "",
-		Body:       item.Body,
-		Deadline:   deadline,
-		Repeatable: !lease.NonIdempotent,
-		Policy:     r.policy(lease),
+		TargetTime:       lease.Deadline.Time(),
+		ExpectedDuration: lease.Takes,
+		ID:               fmt.Sprintf("%s/%d/%d", lease.Job, lease.Item, lease.Attempt),
+		Team:             lease.Team,
+		Service:          lease.Queue.Service,
+		Model:            lease.Queue.Model,
+		Version:          lease.Queue.Version,
+		Path:             item.Endpoint,
+		Plain:            lease.Queue.Model == "",
+		Body:             item.Body,
+		Deadline:         deadline,
+		Repeatable:       !lease.NonIdempotent,
+		Policy:           r.policy(lease),
 	}
 }
 
--- a/internal/gate/batch/outcome.go
+++ b/internal/gate/batch/outcome.go
@@ -11,8 +11,8 @@
 // reasonUpstreamStatus is the reason of items that their upstream refused.
 const reasonUpstreamStatus apierr.Reason = "upstream_status"
 
-// complete fills in how the attempt ended.
-func complete(reported *job.Result, lease *job.Leased, result *proxy.BatchResult, err error) {
+// setOutcome fills in how the attempt ended.
+func setOutcome(reported *job.Result, lease *job.Leased, result *proxy.BatchResult, err error) {
 	switch {
 	case err != nil:
 		reported.Outcome = job.OutcomeReturned
@@ -22,17 +22,17 @@
 			reported.Partial, reported.Reached = result.Body, result.Reached
 		}
 	case result.Outcome == proxy.BatchDone:
-		completeAnswered(reported, lease, result)
+		setAnsweredOutcome(reported, lease, result)
 	case lease.OnlyAnswersCount:
-		completeUnanswered(reported, result)
+		setUnansweredOutcome(reported, result)
 	default:
-		completeFailed(reported, lease, result.Err)
+		setFailedOutcome(reported, lease, result.Err)
 	}
 }
 
-// completeUnanswered ends an item only if its time is over; else nothing that
+// setUnansweredOutcome ends an item only if its time is over; else nothing that
 // went wrong on the way speaks against it.
-func completeUnanswered(reported *job.Result, result *proxy.BatchResult) {
+func setUnansweredOutcome(reported *job.Result, result *proxy.BatchResult) {
 	failure := result.Err
 	reported.Outcome = job.OutcomeReturned
 	reported.Partial, reported.Reached = result.Body, result.Reached
@@ -43,7 +43,7 @@
 	}
 }
 
-func completeAnswered(reported *job.Result, lease *job.Leased, result *proxy.BatchResult) {
+func setAnsweredOutcome(reported *job.Result, lease *job.Leased, result *proxy.BatchResult) {
 	reported.Outcome = job.OutcomeSucceeded
 	reported.Status = result.Status
 	reported.Body = result.Body
@@ -57,22 +57,22 @@
 	}
 }
 
-// completeFailed decides whether an item that has no answer is tried again.
-func completeFailed(reported *job.Result, lease *job.Leased, failure *apierr.Error) {
+// setFailedOutcome decides whether an item that has no answer is tried again.
+func setFailedOutcome(reported *job.Result, lease *job.Leased, failure *apierr.Error) {
 	reported.Reason = failure.Reason
 	reported.Message = failure.Error()
 	switch {
 	case lease.NonIdempotent && failure.Ran == apierr.RanUnknown:
 		reported.Outcome = job.OutcomeUnknown
-	case final(failure.Kind):
+	case isFinal(failure.Kind):
 		reported.Outcome = job.OutcomeFailed
 	default:
 		reported.Outcome = job.OutcomeRetry
 	}
 }
 
-// final reports whether running the item again would end the same way.
-func final(kind apierr.Kind) bool {
+// isFinal reports whether running the item again would end the same way.
+func isFinal(kind apierr.Kind) bool {
 	switch kind {
 	case apierr.Refused, apierr.Invalid, apierr.NotFound, apierr.TooLarge, apierr.Deadline:
 		return true
--- a/internal/gate/batch/renewal.go
+++ b/internal/gate/batch/renewal.go
@@ -11,11 +11,11 @@
 	"slateway.example/slateway/internal/job"
 )
 
-// heartbeats renews the session and stops the items of jobs that have ended.
-func (r *Runner) heartbeats(ctx context.Context) {
+// heartbeatLoop renews the session and stops the items of jobs that have ended.
+func (r *Runner) heartbeatLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.heartbeat(ctx)
-		pause(ctx, r.options.Heartbeat)
+		sleep(ctx, r.options.Heartbeat)
 	}
 }
 
@@ -29,7 +29,7 @@
 		r.fence.renew(sent)
 	case apierr.ReasonOf(err) == job.ReasonUnknownSession:
 		r.options.Log.Warn("batch session not renewed", zap.Error(err))
-		r.fence.close()
+		r.fence.invalidate()
 		r.stopItems()
 	case ctx.Err() == nil:
 		r.options.Log.Warn("batch session not renewed", zap.Error(err))
@@ -51,22 +51,22 @@
 // too long.
 func (r *Runner) watchFence(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause(ctx, r.options.Lifetime/fenceLooks)
-		if !r.holdsItems() {
+		sleep(ctx, r.options.Lifetime/fenceChecks)
+		if !r.leaseValid() {
 			r.stopItems()
 		}
 	}
 }
 
-// holdsItems reports whether the gate may run items now.
-func (r *Runner) holdsItems() bool { return r.fence.open(time.Now()) }
+// leaseValid reports whether the gate may run items now.
+func (r *Runner) leaseValid() bool { return r.fence.valid(time.Now()) }
 
-// heldItem is asked right before each attempt of an item.
-func (r *Runner) heldItem() *apierr.Error {
-	if r.holdsItems() {
+// checkLease is asked right before each attempt of an item.
+func (r *Runner) checkLease() *apierr.Error {
+	if r.leaseValid() {
 		return nil
 	}
-	return leaseOut()
+	return leaseExpired()
 }
 
 // stopItems stops all items that run. Each is given back with what there is of
@@ -80,7 +80,7 @@
 	stopped := 0
 	for id, current := range r.running {
 		stopped += current.items
-		current.cancel(leaseOut())
+		current.cancel(leaseExpired())
 		// An item leased later must not begin with a context that has ended.
 		delete(r.running, id)
 	}
@@ -90,5 +90,5 @@
 
 func stoppedByFence(ctx context.Context) bool {
 	var cause *apierr.Error
-	return errors.As(context.Cause(ctx), &cause) && cause.Reason == ReasonLeaseOut
+	return errors.As(context.Cause(ctx), &cause) && cause.Reason == ReasonItemLeaseExpired
 }
--- a/internal/gate/batch/reporter.go
+++ b/internal/gate/batch/reporter.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// maxReports is how many groups of results are on their way at once.
-	maxReports = 4
-	// reportRetry is the pause before a group that was not taken is sent again.
-	reportRetry = 200 * time.Millisecond
+	// maxConcurrentReports is how many groups of results are on their way at once.
+	maxConcurrentReports = 4
+	// reportRetryDelay is the pause before a group that was not taken is sent again.
+	reportRetryDelay = 200 * time.Millisecond
 	// reportTimeout bounds one attempt to report a group.
 	reportTimeout = 10 * time.Second
 )
@@ -24,7 +24,7 @@
 type reporter struct {
 	options Options
 	slots   chan struct{}
-	any     chan struct{} // gets a value when results wait
+	ready   chan struct{} // gets a value when results wait
 	full    chan struct{} // gets a value when they make a group
 
 	mu       sync.Mutex
@@ -35,8 +35,8 @@
 func newReporter(options Options) *reporter {
 	return &reporter{
 		options: options,
-		slots:   make(chan struct{}, maxReports),
-		any:     make(chan struct{}, 1),
+		slots:   make(chan struct{}, maxConcurrentReports),
+		ready:   make(chan struct{}, 1),
 		full:    make(chan struct{}, 1),
 	}
 }
@@ -46,7 +46,7 @@
 	r.pending = append(r.pending, result)
 	enough := len(r.pending) >= r.options.ResultGroup
 	r.mu.Unlock()
-	signal(r.any)
+	signal(r.ready)
 	if enough {
 		signal(r.full)
 	}
@@ -59,7 +59,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.any:
+		case <-r.ready:
 		}
 		timer := time.NewTimer(r.options.ResultFlush)
 		select {
@@ -80,7 +80,7 @@
 	select {
 	case r.slots <- struct{}{}:
 	default:
-		signal(r.any)
+		signal(r.ready)
 		return
 	}
 	group := r.take()
@@ -113,7 +113,7 @@
 			return
 		}
 		r.options.Log.Warn("batch results not reported yet", zap.Int("results", len(group)), zap.Error(err))
-		pause(ctx, reportRetry)
+		sleep(ctx, reportRetryDelay)
 	}
 }
 
--- a/internal/gate/batch/runner.go
+++ b/internal/gate/batch/runner.go
@@ -29,8 +29,8 @@
 // Router runs single items.
 type Router interface {
 	BatchTarget(service string, policy route.Policy) int
-	// Stepped gets a value when BatchTarget may have changed; nil: it does not tell.
-	Stepped(service string) <-chan struct{}
+	// Updates gets a value when BatchTarget may have changed; nil: it does not tell.
+	Updates(service string) <-chan struct{}
 	RunBatch(ctx context.Context, item proxy.BatchItem) (proxy.BatchResult, error)
 	Upstreams() []proxy.Replica
 }
@@ -61,16 +61,16 @@
 const (
 	// scanInterval is how often a runner looks for new services.
 	scanInterval = 200 * time.Millisecond
-	// roomInterval is the least time between two looks at a full service.
-	roomInterval = 5 * time.Millisecond
+	// capacityInterval is the least time between two looks at a full service.
+	capacityInterval = 5 * time.Millisecond
 	// leaseWait is how long a lease call waits at the keepers for work. The
 	// wanted queues are decided before it, so it also bounds how long a newly
 	// announced model waits for its first item.
 	leaseWait = 5 * time.Second
 	// leaseTimeout bounds a lease call with its repetitions.
 	leaseTimeout = 10 * time.Second
-	// leaseRetry is the pause after a failed lease call.
-	leaseRetry = 200 * time.Millisecond
+	// leaseRetryDelay is the pause after a failed lease call.
+	leaseRetryDelay = 200 * time.Millisecond
 	// closeTimeout bounds the end of the session at shutdown.
 	closeTimeout = 3 * time.Second
 )
@@ -121,7 +121,7 @@
 	defer stop()
 	var loops sync.WaitGroup
 	loops.Go(func() { r.results.run(background) })
-	loops.Go(func() { r.heartbeats(background) })
+	loops.Go(func() { r.heartbeatLoop(background) })
 	if r.options.Lifetime > 0 {
 		loops.Go(func() { r.watchFence(background) })
 	}
@@ -153,21 +153,21 @@
 			r.mu.Unlock()
 			loops.Go(func() { r.leaseLoop(ctx, background, service) })
 		}
-		pause(ctx, scanInterval)
+		sleep(ctx, scanInterval)
 	}
 }
 
 func (r *Runner) leaseLoop(ctx, background context.Context, service string) {
 	for ctx.Err() == nil {
 		wants := r.wants(service)
-		if len(wants) == 0 || !r.holdsItems() {
-			r.awaitRoom(ctx, service)
+		if len(wants) == 0 || !r.leaseValid() {
+			r.awaitCapacity(ctx, service)
 			continue
 		}
 		items, err := r.lease(ctx, wants)
 		if err != nil && ctx.Err() == nil {
 			r.options.Log.Warn("no batch items leased", zap.String("service", service), zap.Error(err))
-			pause(ctx, leaseRetry)
+			sleep(ctx, leaseRetryDelay)
 		}
 		for i := range items {
 			r.start(background, &items[i])
@@ -175,18 +175,18 @@
 	}
 }
 
-// awaitRoom returns when there may be room for items of the service: roomInterval
+// awaitCapacity returns when there may be room for items of the service: roomInterval
 // at least, so that a busy service is not looked at after each decision. A gate that
 // feeds no replica would else look for room for good.
-func (r *Runner) awaitRoom(ctx context.Context, service string) {
+func (r *Runner) awaitCapacity(ctx context.Context, service string) {
 	r.mu.Lock()
 	freed := r.freed[service]
 	r.mu.Unlock()
-	pause(ctx, roomInterval)
+	sleep(ctx, capacityInterval)
 	timer := time.NewTimer(scanInterval)
 	defer timer.Stop()
 	select {
-	case <-r.options.Router.Stepped(service):
+	case <-r.options.Router.Updates(service):
 	case <-freed:
 	case <-timer.C:
 	case <-ctx.Done():
@@ -204,7 +204,7 @@
 // keepers.
 func (r *Runner) wants(service string) []job.Want {
 	target := r.options.Router.BatchTarget(service, route.ThroughputPolicy())
-	holds := r.heldItems(service)
+	holds := r.heldCount(service)
 	count := min(target-holds, r.options.LeaseItems)
 	if count <= 0 {
 		return nil
@@ -249,7 +249,7 @@
 	return queues
 }
 
-func (r *Runner) heldItems(service string) int {
+func (r *Runner) heldCount(service string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.held[service]
@@ -258,14 +258,14 @@
 // start runs an item beside the others.
 func (r *Runner) start(background context.Context, leased *keeperapi.LeasedItem) {
 	held := *leased
-	within := r.enter(background, &held.Lease)
+	within := r.itemStarted(background, &held.Lease)
 	r.items.Go(func() {
-		defer r.leave(&held.Lease, within)
+		defer r.itemEnded(&held.Lease, within)
 		r.runItem(within.ctx, &held)
 	})
 }
 
-func (r *Runner) enter(background context.Context, lease *job.Leased) *runningJob {
+func (r *Runner) itemStarted(background context.Context, lease *job.Leased) *runningJob {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.held[lease.Queue.Service]++
@@ -279,7 +279,7 @@
 	return current
 }
 
-func (r *Runner) leave(lease *job.Leased, within *runningJob) {
+func (r *Runner) itemEnded(lease *job.Leased, within *runningJob) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.held[lease.Queue.Service]--
@@ -313,7 +313,7 @@
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/gate/batch/runner_test.go
+++ b/internal/gate/batch/runner_test.go
@@ -25,13 +25,13 @@
 // keepers is a fake session: it leases the given items once each, and takes
 // results unless told to fail.
 type keepers struct {
-	mu       sync.Mutex
-	items    []keeperapi.LeasedItem
-	failures int // of Complete, before it works
-	ended    []job.ID
-	beat     error // what Heartbeat fails with
-	results  []job.Result
-	closed   bool
+	mu           sync.Mutex
+	items        []keeperapi.LeasedItem
+	failures     int // of Complete, before it works
+	ended        []job.ID
+	heartbeatErr error // what Heartbeat fails with
+	results      []job.Result
+	closed       bool
 }
 
 func (k *keepers) Lease(ctx context.Context, wants []job.Want, wait time.Duration) ([]keeperapi.LeasedItem, error) {
@@ -52,14 +52,14 @@
 func (k *keepers) Heartbeat(context.Context, []job.ID) ([]job.ID, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.ended, k.beat
+	return k.ended, k.heartbeatErr
 }
 
 // loseContact makes each renewal fail from now on.
 func (k *keepers) loseContact(err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.beat = err
+	k.heartbeatErr = err
 }
 
 func (k *keepers) Complete(_ context.Context, results []job.Result) error {
@@ -94,20 +94,20 @@
 
 // engines is a fake router with one replica that runs items by run.
 type engines struct {
-	full  bool         // there is room for no item
-	looks atomic.Int64 // how often that was asked for
-	run   func(ctx context.Context, item proxy.BatchItem) (proxy.BatchResult, error)
+	full        bool         // there is room for no item
+	targetCalls atomic.Int64 // how often that was asked for
+	run         func(ctx context.Context, item proxy.BatchItem) (proxy.BatchResult, error)
 }
 
 func (e *engines) BatchTarget(string, route.Policy) int {
-	e.looks.Add(1)
+	e.targetCalls.Add(1)
 	if e.full {
 		return 0
 	}
 	return 4
 }
 
-func (e *engines) Stepped(string) <-chan struct{} { return nil }
+func (e *engines) Updates(string) <-chan struct{} { return nil }
 
 func (e *engines) RunBatch(ctx context.Context, item proxy.BatchItem) (proxy.BatchResult, error) {
 	return e.run(ctx, item)
@@ -237,10 +237,10 @@
 // Guards against gates that feed no replica and spend their processor time on looking for room.
 func TestAGateWithoutRoomLooksForItNowAndThen(t *testing.T) {
 	e := &engines{full: true}
-	stop := startFenced(&keepers{}, e)
+	stop := startWithLifetime(&keepers{}, e)
 	time.Sleep(time.Second)
 	stop()
-	if got := e.looks.Load(); got < 2 || got > 20 {
+	if got := e.targetCalls.Load(); got < 2 || got > 20 {
 		t.Errorf("looked %d times in a second", got)
 	}
 }
--- a/internal/gate/claims.go
+++ b/internal/gate/claims.go
@@ -30,8 +30,8 @@
 	// the caller has its answer already, and a lost report only means that a
 	// resend is told "unknown".
 	finishTimeout = time.Minute
-	// stillRunningRetry is when to ask again for the outcome of a running claim.
-	stillRunningRetry = 500 * time.Millisecond
+	// stillRunningRetryAfter is when to ask again for the outcome of a running claim.
+	stillRunningRetryAfter = 500 * time.Millisecond
 	// maxOutcomeBytes bounds a stored answer; a longer one is not stored, and a
 	// resend is told "unknown".
 	maxOutcomeBytes = 1 << 20
@@ -78,7 +78,7 @@
 	}
 	recorder := &recorder{ResponseWriter: w, status: http.StatusOK}
 	serve(recorder)
-	c.finish(request, recorder.finish(request))
+	c.finish(request, recorder.claimFinish(request))
 }
 
 // fingerprint tells a resend from another request under the same key.
@@ -137,7 +137,7 @@
 		_, _ = w.Write(done.Body)
 	case claim.StateRunning:
 		refuse(w, r, request, apierr.New(apierr.Conflict, ReasonStillRunning, "ask again with the same key for its outcome",
-			"the request with this key is running").WithRan(apierr.RanUnknown).WithRetryAfter(stillRunningRetry))
+			"the request with this key is running").WithRan(apierr.RanUnknown).WithRetryAfter(stillRunningRetryAfter))
 	default:
 		refuse(w, r, request, apierr.New(apierr.Conflict, ReasonOutcomeUnknown, "check by other means whether it took effect, then use a new key",
 			"the request with this key may have run; its outcome was lost").WithRan(apierr.RanUnknown))
@@ -175,8 +175,8 @@
 // streamEnd is the last event of a whole SSE answer.
 var streamEnd = []byte("data: [DONE]")
 
-// finish says how the claim ends by the answer that was given.
-func (r *recorder) finish(request *call) claim.Finish {
+// claimFinish says how the claim ends by the answer that was given.
+func (r *recorder) claimFinish(request *call) claim.Finish {
 	finish := claim.Finish{Team: request.policy.Team, Key: request.idempotencyKey, ID: request.id}
 	contentType := r.Header().Get("Content-Type")
 	refusal := apierr.ParseHTTP(r.body.Bytes())
--- a/internal/gate/credited.go
+++ b/internal/gate/credited.go
@@ -18,19 +18,19 @@
 	Return(r *credit.Request)
 }
 
-// lateHold: a request whose answer has lost most of its use waits for a credit of its
+// overdueHoldDivisor: a request whose answer has lost most of its use waits for a credit of its
 // team for a third of the time that its caller still gives it. Others are refused at
 // once: their callers know better what to do with the time that is left.
-const lateHold = 3
+const overdueHoldDivisor = 3
 
-// creditFor gives what a request needs of its team's credit. Longest is how long its
+// newCreditRequest gives what a request needs of its team's credit. Longest is how long its
 // caller waits, waited how long it has tried already.
-func creditFor(found Found, r *RoutedRequest, longest, waited time.Duration) *credit.Request {
+func newCreditRequest(found Found, r *RoutedRequest, longest, waited time.Duration) *credit.Request {
 	taken := &credit.Request{
 		ID: r.ID, Team: r.Team.Name, Cap: limit.Cap{Rate: r.Team.Rate, Burst: r.Team.Burst}, Version: found.Matcher.Version(),
 	}
 	if found.TargetLatency > 0 && waited >= found.TargetLatency {
-		taken.HoldUntil = r.Arrived.Add(longest / lateHold)
+		taken.HoldUntil = r.Arrived.Add(longest / overdueHoldDivisor)
 	}
 	return taken
 }
@@ -38,14 +38,14 @@
 // creditedCaller gives the credit of a request back that ends without having run.
 type creditedCaller struct {
 	proxy.Caller
-	credit Credit
-	taken  *credit.Request
+	credit  Credit
+	request *credit.Request
 }
 
 // Refuse gives the final answer of a request that has no other.
 func (c *creditedCaller) Refuse(err *apierr.Error) {
 	if err.Ran == apierr.RanNo {
-		c.credit.Return(c.taken)
+		c.credit.Return(c.request)
 	}
 	c.Caller.Refuse(err)
 }
--- a/internal/gate/jobs.go
+++ b/internal/gate/jobs.go
@@ -77,7 +77,7 @@
 // Submit accepts a whole job of a team, or nothing of it.
 func (j *Jobs) Submit(ctx context.Context, found Found, team, id string, items []SubmittedItem) error {
 	if len(items) == 0 || len(items) > maxSubmittedItems {
-		return j.refused("job refused", id, apierr.New(apierr.Invalid, ReasonTooManyItems, "split the job",
+		return j.logRefusal("job refused", id, apierr.New(apierr.Invalid, ReasonTooManyItems, "split the job",
 			"a job has 1 to %d items, not %d", maxSubmittedItems, len(items)))
 	}
 	ctx, cancel := context.WithTimeout(ctx, found.Timeout)
@@ -86,7 +86,7 @@
 	submission := j.submission(found, JobName{Host: found.Host, Team: team, ID: id}, items)
 	status, err := j.options.Keepers.SubmitJob(ctx, submission)
 	if err != nil {
-		return j.refused("job refused", id, err)
+		return j.logRefusal("job refused", id, err)
 	}
 	j.options.Log.Info("job accepted", telemetry.RequestID(id), zap.String("job", string(status.ID)), telemetry.Team(team), zap.String("route", found.Name),
 		zap.String("service", submission.Spec.Queue.Service), zap.Int("items", len(items)),
@@ -105,7 +105,7 @@
 		Team:             named.Host,
 		Key:              named.key(),
 		Owner:            named.Team,
-		Queue:            job.Queue{Service: found.Pick(rand.Float64(), j.options.Router.Knows)},
+		Queue:            job.Queue{Service: found.Pick(rand.Float64(), j.options.Router.Available)},
 		Within:           found.CompletionTarget,
 		MaxAttempts:      max(1, found.MaxAttempts),
 		Retention:        j.options.Retention,
@@ -116,7 +116,7 @@
 	}
 }
 
-func (j *Jobs) refused(what, id string, err error) error {
+func (j *Jobs) logRefusal(what, id string, err error) error {
 	known := apierr.From(err)
 	j.options.Metrics.Refused(known.Reason)
 	j.options.Log.Info(what, telemetry.RequestID(id), telemetry.Reason(string(known.Reason)),
@@ -133,7 +133,7 @@
 		Job: named.jobID(), Position: position, MaxBytes: maxBytes, Wait: wait,
 	})
 	if err != nil {
-		return nil, j.refused("results not read", named.ID, err)
+		return nil, j.logRefusal("results not read", named.ID, err)
 	}
 	return response, nil
 }
@@ -144,7 +144,7 @@
 	defer cancel()
 	found, err := j.options.Keepers.ReadItem(ctx, named.jobID(), item)
 	if err != nil {
-		return nil, j.refused("item not read", named.ID, err)
+		return nil, j.logRefusal("item not read", named.ID, err)
 	}
 	return found.Body, nil
 }
@@ -155,7 +155,7 @@
 	defer cancel()
 	_, err := j.options.Keepers.CancelJob(ctx, named.jobID())
 	if err != nil && apierr.ReasonOf(err) != job.ReasonJobEnded {
-		return j.refused("job not ended", named.ID, err)
+		return j.logRefusal("job not ended", named.ID, err)
 	}
 	j.options.Log.Info("job ended by its caller", telemetry.RequestID(named.ID), telemetry.Team(named.Team))
 	return nil
@@ -172,19 +172,19 @@
 			"no batch route of version %d fits %s%s", matcher.Version(), lease.Team, item.Endpoint)
 	}
 	routed := proxy.BatchItem{
-		ID:         string(lease.Job) + "/" + item.CustomID,
-		Team:       found.Name,
-		Service:    j.service(found, lease.Queue.Service),
-		Body:       item.Body,
-		Due:        lease.ByClock(lease.Deadline, now),
-		Takes:      lease.Takes,
-		Deadline:   lease.ByClock(lease.GiveUp, now),
-		Repeatable: true,
-		Patient:    lease.OnlyAnswersCount,
-		Policy:     route.ThroughputPolicy(),
-		Protocol:   j.options.Protocol(lease.Team, lease.Owner, item),
-		Reached:    lease.Reached,
-		Text:       string(leased.Partial),
+		ID:                 string(lease.Job) + "/" + item.CustomID,
+		Team:               found.Name,
+		Service:            j.service(found, lease.Queue.Service),
+		Body:               item.Body,
+		TargetTime:         lease.ByClock(lease.Deadline, now),
+		ExpectedDuration:   lease.Takes,
+		Deadline:           lease.ByClock(lease.GiveUp, now),
+		Repeatable:         true,
+		RetryUntilAnswered: lease.OnlyAnswersCount,
+		Policy:             route.ThroughputPolicy(),
+		Protocol:           j.options.Protocol(lease.Team, lease.Owner, item),
+		Reached:            lease.Reached,
+		Text:               string(leased.Partial),
 	}
 	j.options.Log.Info("item starts", telemetry.RequestID(item.CustomID), zap.String("job", string(lease.Job)),
 		zap.Int("attempt", lease.Attempt), zap.Int("reached", lease.Reached), zap.String("service", routed.Service), zap.Uint64("routes", matcher.Version()))
@@ -199,5 +199,5 @@
 			return queued
 		}
 	}
-	return found.Pick(rand.Float64(), j.options.Router.Knows)
+	return found.Pick(rand.Float64(), j.options.Router.Available)
 }
--- a/internal/gate/online.go
+++ b/internal/gate/online.go
@@ -73,7 +73,7 @@
 
 // ServeCompletions answers POST /v1/chat/completions and /v1/completions.
 func (f *Front) ServeCompletions(w http.ResponseWriter, r *http.Request) {
-	c, err := f.begin(w, r)
+	c, err := f.prepare(w, r)
 	if err != nil {
 		f.refuse(w, r, c, err)
 		return
@@ -103,7 +103,7 @@
 // ServeService answers requests to a plain service at path, which has the
 // service's name cut off.
 func (f *Front) ServeService(w http.ResponseWriter, r *http.Request, service, path string) {
-	c, err := f.begin(w, r)
+	c, err := f.prepare(w, r)
 	if err != nil {
 		f.refuse(w, r, c, err)
 		return
@@ -148,9 +148,9 @@
 	return err == nil && value
 }
 
-// begin reads what all online requests have in common. The call has at least
+// prepare reads what all online requests have in common. The call has at least
 // an ID when it fails.
-func (f *Front) begin(w http.ResponseWriter, r *http.Request) (*call, error) {
+func (f *Front) prepare(w http.ResponseWriter, r *http.Request) (*call, error) {
 	c := &call{id: uuid.NewString()}
 	w.Header().Set(proxy.HeaderRequestID, c.id)
 	policy, err := f.access.Authenticate(r.Header.Get("Authorization"))
--- a/internal/gate/patience.go
+++ b/internal/gate/patience.go
@@ -6,43 +6,43 @@
 )
 
 const (
-	// patienceStep groups what callers say that they wait. First attempts differ by
+	// timeoutStep groups what callers say that they wait. First attempts differ by
 	// the time that a connection takes.
-	patienceStep = 50 * time.Millisecond
-	// patienceMemory is how many of a route's requests are remembered. Before
+	timeoutStep = 50 * time.Millisecond
+	// maxTimeoutSamples is how many of a route's requests are remembered. Before
 	// patienceEnough are, the route's own timeout counts as a caller's patience too:
 	// after a stop of a whole site nearly all who come first come again, and say
 	// much the same.
-	patienceMemory = 64
-	patienceEnough = 16
-	// patienceRoutes bounds the routes that are remembered. Routes come and go with
+	maxTimeoutSamples = 64
+	minTimeoutSamples = 16
+	// maxEstimatedRoutes bounds the routes that are remembered. Routes come and go with
 	// changes of the configuration, hundreds a day; beyond it all is learned anew.
-	patienceRoutes = 1024
-	// patienceShare of the requests must agree. A caller that comes again names what
+	maxEstimatedRoutes = 1024
+	// minTimeoutShare of the requests must agree. A caller that comes again names what
 	// is left of its time, which differs from caller to caller; one caller in 25 or
 	// so has far more patience than the others.
-	patienceShare = 0.1
+	minTimeoutShare = 0.1
 )
 
-// patience learns how long the callers of a route wait when they begin to try:
+// waitEstimator learns how long the callers of a route wait when they begin to try:
 // the longest time that many of them give. A request that allows less comes again, and
 // the difference is what its caller has waited. It is safe for concurrent use.
-type patience struct {
+type waitEstimator struct {
 	mu     sync.Mutex
-	routes map[string]*patienceOfRoute
+	routes map[string]*routeWaits
 }
 
-type patienceOfRoute struct {
+type routeWaits struct {
 	recent []int // in steps, a ring of patienceMemory
 	next   int
 	counts map[int]int
 }
 
-func newPatience() *patience { return &patience{routes: make(map[string]*patienceOfRoute)} }
+func newWaitEstimator() *waitEstimator { return &waitEstimator{routes: make(map[string]*routeWaits)} }
 
-// waited gives how long a caller has been trying that waits for left from now on,
+// timeWaited gives how long a caller has been trying that waits for left from now on,
 // and remembers it. The route lets its callers wait for timeout.
-func (p *patience) waited(route string, left, timeout time.Duration) time.Duration {
+func (p *waitEstimator) timeWaited(route string, left, timeout time.Duration) time.Duration {
 	if left <= 0 {
 		return 0
 	}
@@ -50,23 +50,23 @@
 	defer p.mu.Unlock()
 	known := p.routes[route]
 	if known == nil {
-		if len(p.routes) >= patienceRoutes {
+		if len(p.routes) >= maxEstimatedRoutes {
 			clear(p.routes)
 		}
-		known = &patienceOfRoute{counts: make(map[int]int)}
+		known = &routeWaits{counts: make(map[int]int)}
 		p.routes[route] = known
 	}
-	known.observe(int((left + patienceStep/2) / patienceStep))
-	usual := time.Duration(known.usual()) * patienceStep
-	if len(known.recent) < patienceEnough {
+	known.observe(int((left + timeoutStep/2) / timeoutStep))
+	usual := time.Duration(known.usual()) * timeoutStep
+	if len(known.recent) < minTimeoutSamples {
 		usual = max(usual, timeout)
 	}
 	return max(0, usual-left)
 }
 
-func (p *patienceOfRoute) observe(steps int) {
+func (p *routeWaits) observe(steps int) {
 	p.counts[steps]++
-	if len(p.recent) < patienceMemory {
+	if len(p.recent) < maxTimeoutSamples {
 		p.recent = append(p.recent, steps)
 		return
 	}
@@ -76,14 +76,14 @@
 		delete(p.counts, oldest)
 	}
 	p.recent[p.next] = steps
-	p.next = (p.next + 1) % patienceMemory
+	p.next = (p.next + 1) % maxTimeoutSamples
 }
 
 // usual gives the longest time, in steps, that many of the recent requests gave.
-func (p *patienceOfRoute) usual() int {
+func (p *routeWaits) usual() int {
 	longest := 0
 	for steps, count := range p.counts {
-		if float64(count) >= patienceShare*float64(len(p.recent)) {
+		if float64(count) >= minTimeoutShare*float64(len(p.recent)) {
 			longest = max(longest, steps)
 		}
 	}
--- a/internal/gate/patience_test.go
+++ b/internal/gate/patience_test.go
@@ -11,10 +11,10 @@
 // taken alike, the new ones wait behind the old and are all late.
 func TestPatienceTellsCallersThatComeAgain(t *testing.T) {
 	const timeout = 5 * time.Second
-	p := newPatience()
+	p := newWaitEstimator()
 	expect := func(left, least, most time.Duration) {
 		t.Helper()
-		if waited := p.waited("r", left, timeout); waited < least || waited > most {
+		if waited := p.timeWaited("r", left, timeout); waited < least || waited > most {
 			t.Errorf("a caller with %s left is said to have waited %s", left, waited)
 		}
 	}
@@ -34,17 +34,17 @@
 // enough of them have come, only what they say counts.
 func TestPatienceFollowsWhatCallersSay(t *testing.T) {
 	for _, timeout := range []time.Duration{time.Second, 15 * time.Second} {
-		p := newPatience()
-		for range patienceMemory {
-			p.waited("r", 5*time.Second, timeout)
+		p := newWaitEstimator()
+		for range maxTimeoutSamples {
+			p.timeWaited("r", 5*time.Second, timeout)
 		}
-		if waited := p.waited("r", 5*time.Second, timeout); waited != 0 {
+		if waited := p.timeWaited("r", 5*time.Second, timeout); waited != 0 {
 			t.Errorf("timeout %s: a caller that has just come is said to have waited %s", timeout, waited)
 		}
-		for range patienceMemory {
-			p.waited("r", 2*time.Second, timeout)
+		for range maxTimeoutSamples {
+			p.timeWaited("r", 2*time.Second, timeout)
 		}
-		if waited := p.waited("r", time.Second, timeout); waited != time.Second {
+		if waited := p.timeWaited("r", time.Second, timeout); waited != time.Second {
 			t.Errorf("timeout %s: waited %s of 2 s", timeout, waited)
 		}
 		if counts := p.routes["r"].counts; len(counts) > 2 {
@@ -56,11 +56,11 @@
 // Operators change routes all day, under new names each time. What is remembered of
 // them must not grow with that.
 func TestPatienceRemembersABoundedNumberOfRoutes(t *testing.T) {
-	p := newPatience()
-	for i := range 3 * patienceRoutes {
-		p.waited(fmt.Sprint("r-", i), time.Second, time.Second)
+	p := newWaitEstimator()
+	for i := range 3 * maxEstimatedRoutes {
+		p.timeWaited(fmt.Sprint("r-", i), time.Second, time.Second)
 	}
-	if len(p.routes) > patienceRoutes {
+	if len(p.routes) > maxEstimatedRoutes {
 		t.Errorf("%d routes are remembered", len(p.routes))
 	}
 }
--- a/internal/gate/proxy/assemble.go
+++ b/internal/gate/proxy/assemble.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// answerMeta is what a stream told beside its text.
+// answerMeta is what a stream contains in addition to its text.
 type answerMeta struct {
 	id      string
 	created int64
@@ -14,7 +14,7 @@
 	usage   json.RawMessage
 }
 
-func (m *answerMeta) take(e *Event) {
+func (m *answerMeta) update(e *Event) {
 	if m.id == "" {
 		m.id, m.created, m.model = e.chunk.ID, e.chunk.Created, e.chunk.Model
 	}
@@ -28,7 +28,7 @@
 	}
 }
 
-// completion is a whole answer in the OpenAI protocol.
+// completion is an unstreamed answer in the OpenAI protocol.
 type completion struct {
 	ID      string             `json:"id"`
 	Object  string             `json:"object"`
@@ -40,8 +40,8 @@
 
 type completionChoice struct {
 	Index        int                `json:"index"`
-	Message      *completionMessage `json:"message,omitempty"` // of a chat
-	Text         *string            `json:"text,omitempty"`    // of a completion
+	Message      *completionMessage `json:"message,omitempty"` // chat completions only
+	Text         *string            `json:"text,omitempty"`    // text completions only
 	FinishReason string             `json:"finish_reason"`
 }
 
@@ -50,15 +50,15 @@
 	Content string `json:"content"`
 }
 
-// usage counts the tokens when the engine did not report them.
+// usage is the token count that the gate reports if the engine reported none.
 type usage struct {
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// Assemble puts a streamed answer together for a caller that asked for a plain
-// one.
-func (f *form) Assemble(p *Progress) (*Reply, error) {
+// Assemble builds an unstreamed answer from a stream, for a caller that did not
+// ask for one.
+func (f *httpProtocol) Assemble(p *Progress) (*Reply, error) {
 	text := p.Text
 	choice := completionChoice{FinishReason: p.meta.finish}
 	answer := completion{
--- a/internal/gate/proxy/attempt.go
+++ b/internal/gate/proxy/attempt.go
@@ -20,33 +20,33 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// attempt is one try of a flight's request on one replica.
+// attempt is one attempt to run a flight's request on one replica.
 type attempt struct {
-	id     route.AttemptID
-	flight *flight
-	target upstream.Announcement
-	resume bool
-	memory string // of the request's run, to go on from; empty: none
-	try    Try    // as it was sent
-	began  time.Time
+	id        route.AttemptID
+	flight    *flight
+	target    upstream.Announcement
+	resume    bool
+	memory    string // identifies the memory of the run to continue; empty: none
+	info      Try    // as passed to the Protocol
+	startedAt time.Time
 
 	ctx       context.Context
 	cancelCtx context.CancelFunc
-	stopped   atomic.Bool // by the decisions: nothing of it may be used any more
-	connected atomic.Bool // a connection was given to the request, so bytes may have left
+	stopped   atomic.Bool // cancelled by package route: its answer must not be used
+	connected atomic.Bool // the request got a connection, so bytes may have been sent
 }
 
 func newAttempt(f *flight, o route.Dispatch) *attempt {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &attempt{
-		id: o.Attempt, flight: f, target: *o.Target, resume: o.Resume, memory: o.Memory, began: time.Now(),
+		id: o.Attempt, flight: f, target: *o.Target, resume: o.Resume, memory: o.Memory, startedAt: time.Now(),
 		ctx: ctx, cancelCtx: cancel,
 	}
 }
 
-// halt stops the attempt: closing its connection makes the engine free the
-// slot. It does not block.
-func (a *attempt) halt(cause route.CancelCause) {
+// stop cancels the attempt without blocking. Closing its connection makes the
+// engine free the slot.
+func (a *attempt) stop(cause route.CancelCause) {
 	a.stopped.Store(true)
 	a.cancelCtx()
 	if a.target.CanCancel && a.connected.Load() && cause != route.CancelDied {
@@ -54,8 +54,8 @@
 	}
 }
 
-// cancelUpstream asks the engine to stop the request, over another connection:
-// the end of one that has gone silent may never reach the engine.
+// cancelUpstream asks the engine to cancel the request. It uses another connection,
+// since closing a stalled one may go unnoticed by the engine.
 func (a *attempt) cancelUpstream() {
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -66,7 +66,7 @@
 		return
 	}
 	request.Header.Set("Content-Type", "application/json")
-	response, err := a.links().pool(a.target.Replica).RoundTrip(request)
+	response, err := a.transports().pool(a.target.Replica).RoundTrip(request)
 	if err == nil {
 		a.flight.shard.router.options.Metrics.Observe(MetricYield, time.Since(start))
 		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxProbeBytes))
@@ -74,24 +74,24 @@
 	}
 }
 
-func (a *attempt) links() *links { return a.flight.shard.router.links }
+func (a *attempt) transports() *transports { return a.flight.shard.router.transports }
 
-// run sends the request and reports how it ends.
+// run sends the request, forwards the answer and reports the result.
 func (a *attempt) run() {
 	defer a.cancelCtx()
-	if err := a.notHeld(); err != nil {
-		a.flight.end(err)
+	if err := a.checkLease(); err != nil {
+		a.flight.finish(err)
 		return
 	}
 	response, err := a.send()
 	if err != nil {
-		a.failed(a.causeOf(err), err)
+		a.reportFailure(a.failureCause(err), err)
 		return
 	}
 	defer response.Body.Close()
-	verdict := a.flight.protocol.Judge(response, &a.try)
+	verdict := a.flight.protocol.Judge(response, &a.info)
 	if verdict.Cause != "" {
-		a.failed(verdict.Cause, fmt.Errorf("status %d", response.StatusCode))
+		a.reportFailure(verdict.Cause, fmt.Errorf("status %d", response.StatusCode))
 		return
 	}
 	a.step(route.Progress{Attempt: a.id})
@@ -101,26 +101,26 @@
 	events := a.flight.protocol.Events(response)
 	switch {
 	case events != nil:
-		a.flight.open(a, &Reply{Status: response.StatusCode, Header: response.Header})
+		a.flight.setHead(a, &Reply{Status: response.StatusCode, Header: response.Header})
 		err = a.readStream(events)
-	case a.flight.hasBegun():
-		a.failed(route.CauseStatus, fmt.Errorf("status %d to a stream that was to go on", response.StatusCode))
+	case a.flight.streamStarted():
+		a.reportFailure(route.CauseStatus, fmt.Errorf("status %d instead of the continuation of a stream", response.StatusCode))
 		return
 	default:
 		err = a.readWhole(response)
 	}
-	if err != nil && !errors.Is(err, errUnused) {
-		a.failed(a.causeOf(err), err)
+	if err != nil && !errors.Is(err, errAttemptStopped) {
+		a.reportFailure(a.failureCause(err), err)
 	}
 }
 
-// notHeld says why the request may not be sent any more. Between the decision
-// and this moment the process may have been frozen, and what it held is lost.
-func (a *attempt) notHeld() *apierr.Error {
-	if a.flight.held == nil {
+// checkLease returns an error if the request may no longer be sent. The process may
+// have been frozen since the decision to send it, and its lease lost meanwhile.
+func (a *attempt) checkLease() *apierr.Error {
+	if a.flight.checkLease == nil {
 		return nil
 	}
-	return a.flight.held()
+	return a.flight.checkLease()
 }
 
 func (a *attempt) step(in route.Input) {
@@ -129,23 +129,23 @@
 	}
 }
 
-// failed reports that the attempt ended without its answer.
-func (a *attempt) failed(cause route.FailureCause, err error) {
+// reportFailure reports that the attempt ended without an answer.
+func (a *attempt) reportFailure(cause route.FailureCause, err error) {
 	if a.stopped.Load() {
 		return
 	}
 	a.flight.shard.log().Info("attempt failed", telemetry.RequestID(a.flight.request.ID), zap.Uint64("attempt", uint64(a.id)),
-		telemetry.Upstream(string(a.target.Replica)), telemetry.Reason(string(cause)), zap.Duration("after", time.Since(a.began)),
+		telemetry.Upstream(string(a.target.Replica)), telemetry.Reason(string(cause)), zap.Duration("after", time.Since(a.startedAt)),
 		zap.Bool("sent", a.connected.Load()), zap.Error(err))
 	a.step(route.Failed{Attempt: a.id, Cause: cause})
 }
 
-// engineError is an error that the engine reported within a stream.
+// engineError is an error event within an engine's stream.
 type engineError struct{ detail string }
 
 func (e *engineError) Error() string { return "engine reported " + e.detail }
 
-func (a *attempt) causeOf(err error) route.FailureCause {
+func (a *attempt) failureCause(err error) route.FailureCause {
 	var reported *engineError
 	switch {
 	case !a.connected.Load():
@@ -160,57 +160,57 @@
 }
 
 func (a *attempt) send() (*http.Response, error) {
-	a.prepare()
-	request, err := a.flight.protocol.Request(a.ctx, &a.try)
+	a.prepareInfo()
+	request, err := a.flight.protocol.Request(a.ctx, &a.info)
 	if err != nil {
 		return nil, err
 	}
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { a.connected.Store(true) }}
 	request = request.WithContext(httptrace.WithClientTrace(a.ctx, trace))
-	transport := a.links().fresh
+	transport := a.transports().fresh
 	if a.flight.request.Repeatable {
-		transport = a.links().pool(a.target.Replica)
+		transport = a.transports().pool(a.target.Replica)
 	}
 	return transport.RoundTrip(request)
 }
 
-// prepare says where the try goes on.
-func (a *attempt) prepare() {
-	tokens, text := a.flight.reached()
+// prepareInfo sets the attempt's info with the point at which it resumes.
+func (a *attempt) prepareInfo() {
+	tokens, text := a.flight.resumePoint()
 	start := a.flight.protocol.Start()
 	if tokens > start && !a.resume {
 		a.flight.restart()
 		tokens, text = start, ""
 	}
-	a.try = Try{
+	a.info = Try{
 		RequestID: a.flight.request.ID, Attempt: a.id, Target: &a.target,
 		Deadline: a.flight.request.Deadline, After: tokens, Text: text, Memory: a.memory,
 	}
 }
 
-// onceBody hides that its content could be read again. The transport would
-// otherwise repeat by itself a request with an Idempotency-Key or of a safe
-// method when a pooled connection fails, unseen by the decisions, their budget
-// and their promise to run it at most once.
-type onceBody struct{ io.Reader }
+// nonReplayableBody hides that its content could be read again. Otherwise
+// http.Transport would itself retry a request with an Idempotency-Key or a safe
+// method when a pooled connection fails, bypassing the retry budget and the
+// at-most-once guarantee of package route.
+type nonReplayableBody struct{ io.Reader }
 
-func (onceBody) Close() error { return nil }
+func (nonReplayableBody) Close() error { return nil }
 
-// NewRequest makes a request to an upstream whose body is sent once at most.
+// NewRequest creates a request to an upstream that the transport does not retry.
 func NewRequest(ctx context.Context, method, url string, body []byte) (*http.Request, error) {
 	request, err := http.NewRequestWithContext(ctx, method, url, nil)
 	if err != nil {
 		return nil, err
 	}
 	if len(body) > 0 {
-		request.Body = onceBody{bytes.NewReader(body)}
+		request.Body = nonReplayableBody{bytes.NewReader(body)}
 		request.ContentLength = int64(len(body))
 	}
 	return request, nil
 }
 
-// readStream passes events on as they come. The answer is whole only with its
-// last event: a connection that ends before it is a failure.
+// readStream forwards events as they arrive. The answer is complete only with its
+// last event; a connection that ends before it is a failure.
 func (a *attempt) readStream(events EventSource) error {
 	for {
 		e, err := events.Next()
@@ -225,14 +225,14 @@
 		}
 		delivered := a.flight.protocol.Streams() && e.Token > 0
 		a.step(route.Progress{Attempt: a.id, Tokens: e.Token, Delivered: delivered})
-		if err := a.flight.add(a, e); err != nil {
+		if err := a.flight.addEvent(a, e); err != nil {
 			return err
 		}
 	}
 }
 
 func (a *attempt) finishStream(last *Event) error {
-	if err := a.flight.add(a, last); err != nil {
+	if err := a.flight.addEvent(a, last); err != nil {
 		return err
 	}
 	answer := &Reply{}
@@ -249,16 +249,16 @@
 	return nil
 }
 
-// endUnknown says whether an answer with a body ends by closing the connection
-// only: whether it is whole cannot be known then.
-func endUnknown(response *http.Response) bool {
+// isCloseDelimited reports whether only the end of the connection delimits an
+// answer's body, so that truncation cannot be detected.
+func isCloseDelimited(response *http.Response) bool {
 	bodiless := response.Request.Method == http.MethodHead ||
 		response.StatusCode == http.StatusNoContent || response.StatusCode == http.StatusNotModified
 	return !bodiless && response.ContentLength < 0 && len(response.TransferEncoding) == 0
 }
 
-// readWhole reads a plain answer to its end before any of it is passed on, so
-// that a truncated one is never taken for whole. The transport checks it
+// readWhole reads an unstreamed answer to its end before any of it is forwarded, so
+// that a truncated answer is never delivered as complete. The transport checks it
 // against its Content-Length or chunks.
 func (a *attempt) readWhole(response *http.Response) error {
 	limit := a.flight.shard.router.options.MaxAnswerBytes
@@ -269,7 +269,7 @@
 	if len(body) > limit {
 		return errTooLong
 	}
-	if endUnknown(response) && !a.flight.protocol.EndsByClose() {
+	if isCloseDelimited(response) && !a.flight.protocol.EndsByClose() {
 		return errTruncated
 	}
 	if a.flight.shard.complete(a) {
--- a/internal/gate/proxy/counter.go
+++ b/internal/gate/proxy/counter.go
@@ -8,8 +8,8 @@
 	"slateway.example/slateway/internal/telemetry"
 )
 
-// counterName gives the counter of a reason: refusals and retries stand beside
-// those of the other parts of the gate, by their prefixes.
+// counterName returns the name of a reason's counter. Refusals and retries have the
+// prefixes that other parts of the gate use too.
 func counterName(reason apierr.Reason) string {
 	if cause, retried := strings.CutPrefix(string(reason), route.ReasonRetryPrefix); retried {
 		return telemetry.RetriedPrefix + cause
--- a/internal/gate/proxy/dial_test.go
+++ b/internal/gate/proxy/dial_test.go
@@ -14,20 +14,19 @@
 )
 
 var _ = Describe("a replica that lost its power", func() {
-	It("does not make the callers late whose requests are sent there", func() {
-		// A school's letter is drafted 0.75 s late: the request was sent to a replica
-		// without power, and the gate waited for a connection for as long as one may
-		// take at most. It was never sent, so that another replica may run it, also
-		// if it may not be repeated.
+	It("does not delay requests past their target", func() {
+		// Guards against an answer 0.75 s after its target: the gate waits for a
+		// connection to a VM without power for the whole dial timeout. The request was
+		// never sent, so that another replica may run it even if it is not repeatable.
 		const target = 300 * time.Millisecond
 		g := newGate(route.Config{}, newFakeEngine("r1", 3, 0))
 		for i := range 10 {
 			status, _ := g.post(varied(streamBody, i), "Once")
 			Expect(status).To(Equal(http.StatusOK))
 		}
-		dark := newFakeEngine("r2", 3, 0)
-		DeferCleanup(dark.server.Close)
-		announcement := dark.announcement()
+		unpowered := newFakeEngine("r2", 3, 0)
+		DeferCleanup(unpowered.server.Close)
+		announcement := unpowered.announcement()
 		address, err := link.NewDark()
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(address.Close)
@@ -42,6 +41,6 @@
 			Expect(whole).To(BeTrue())
 			Expect(time.Since(start)).To(BeNumerically("<", target))
 		}
-		Expect(g.count(telemetry.RetriedPrefix+"not_sent")()).To(BeNumerically(">", 0), "the dark replica was never tried")
+		Expect(g.count(telemetry.RetriedPrefix+"not_sent")()).To(BeNumerically(">", 0), "the replica without power was never tried")
 	})
 })
--- a/internal/gate/proxy/engine_test.go
+++ b/internal/gate/proxy/engine_test.go
@@ -13,8 +13,8 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// fakeEngine answers by the engine protocol: words "t1 t2 ... tN", one event
-// each. Its faults are set by the test.
+// fakeEngine speaks the engine protocol and answers "t1 t2 ... tN", one event for
+// each token. Tests set its faults.
 type fakeEngine struct {
 	server *httptest.Server
 	id     upstream.ReplicaID
@@ -22,12 +22,12 @@
 	mu        sync.Mutex
 	tokens    int           // length of an answer
 	pace      time.Duration // between tokens
-	hold      chan struct{} // no token is sent before it is closed; nil: none waits
+	hold      chan struct{} // no token is sent until it is closed; nil: no delay
 	breakAt   int           // close the connection before this token; 0: never
-	silentAt  int           // stop sending before this token and keep the connection; 0: never
+	silentAt  int           // stop sending before this token but keep the connection open; 0: never
 	otherID   bool          // echo another request's ID
 	served    int           // requests that arrived
-	resumedAt []int         // resume_from of those that asked to go on
+	resumedAt []int         // resume_from of requests that resume
 	dead      bool          // its process has ended
 	stopped   int           // requests that ended before their last token
 }
@@ -52,10 +52,10 @@
 	change(e)
 }
 
-// poison is the prompt that ends the engine's process.
+// poison is a prompt that crashes the engine's process.
 const poison = "crash"
 
-// die drops all connections and refuses new ones.
+// die closes all connections and refuses new ones.
 func (e *fakeEngine) die() {
 	e.with(func(e *fakeEngine) { e.dead = true })
 	_ = e.server.Listener.Close()
@@ -130,7 +130,7 @@
 	}
 }
 
-// paced gives a channel that is ready when the next token may be sent.
+// paced returns a channel that is ready when the next token may be sent.
 func (e *fakeEngine) paced(pace time.Duration) <-chan struct{} {
 	if e.hold != nil {
 		return e.hold
@@ -140,7 +140,7 @@
 	return due
 }
 
-// words is the text of the tokens up to last.
+// words returns the text of the tokens up to last.
 func words(last int) string {
 	var text strings.Builder
 	for token := 1; token <= last; token++ {
--- a/internal/gate/proxy/event.go
+++ b/internal/gate/proxy/event.go
@@ -10,30 +10,30 @@
 
 // Event is one event of a stream.
 type Event struct {
-	Raw  []byte // as it is passed on, with the empty line at its end
-	Done bool   // the answer is whole with it
-	// Token is the number of the event, or of the last token in it; 0 when it has
+	Raw  []byte // as forwarded, including the empty line at its end
+	Done bool   // last event of a complete answer
+	// Token is the number of the event, or of the last token in it; 0 if it has
 	// none.
 	Token int
 	Text  string
-	// Numbered: events are numbered one by one, so that one is missing if its
-	// number does not follow the last.
+	// Numbered is set if events are numbered consecutively, so that a gap in the
+	// numbers means a missing event.
 	Numbered bool
 
 	chunk chunk
 	err   json.RawMessage // the engine's error object
 }
 
-// repeats says whether the event tells what the first tokens told already:
-// the opening event of a resumed stream, or a token that came twice.
-func (e *Event) repeats(tokens int) bool {
+// isDuplicate reports whether the event's content is among the first tokens: the
+// opening event of a resumed stream, or a token received twice.
+func (e *Event) isDuplicate(tokens int) bool {
 	switch {
 	case tokens == 0 || e.Done:
 		return false
 	case e.Numbered:
 		return e.Token <= tokens
 	case e.Text == "":
-		return !e.chunk.closes()
+		return !e.chunk.isFinal()
 	default:
 		return e.Token > 0 && e.Token <= tokens
 	}
@@ -60,8 +60,8 @@
 	FinishReason *string `json:"finish_reason"`
 }
 
-// closes says whether the chunk ends the text or reports its usage.
-func (c *chunk) closes() bool {
+// isFinal reports whether the chunk ends the text or reports its usage.
+func (c *chunk) isFinal() bool {
 	if len(c.Usage) > 0 && string(c.Usage) != "null" {
 		return true
 	}
@@ -74,7 +74,7 @@
 }
 
 // finishCancelled is the finish reason of a stream that was cancelled at the
-// engine: it has its last event but is not whole.
+// engine. Such a stream has its last event but is incomplete.
 const finishCancelled = "cancelled"
 
 func (c *chunk) cancelled() bool {
@@ -94,16 +94,16 @@
 // Errors of a stream.
 var (
 	errTruncated = errors.New("the stream ended before its last event")
-	// ErrMalformed says that what came is not of the protocol, so that the
+	// ErrMalformedEvent means that the data violates the protocol, so that the
 	// connection cannot be trusted.
-	ErrMalformed = errors.New("the stream holds an event that is not one of the protocol")
-	errTooLong   = errors.New("the answer is longer than the gate holds")
+	ErrMalformed = errors.New("the stream contains an event that violates the protocol")
+	errTooLong   = errors.New("the answer exceeds the gate's buffer for one answer")
 )
 
-// eventReader reads the events of a stream (server-sent events).
+// eventReader reads a stream of server-sent events.
 type eventReader struct {
 	lines  *bufio.Reader
-	tokens int // counted here when the engine does not count
+	tokens int // counted here if the engine does not number tokens
 }
 
 // readBuffer is the size of a stream's read buffer; most events are shorter.
@@ -113,8 +113,8 @@
 	return &eventReader{lines: bufio.NewReaderSize(body, readBuffer)}
 }
 
-// Next reads the next event. A stream that ends before its last event gives
-// errTruncated.
+// Next returns the next event, or errTruncated if the stream ends before its last
+// event.
 func (r *eventReader) Next() (*Event, error) {
 	var raw []byte
 	for {
@@ -139,7 +139,7 @@
 	e := &Event{Raw: raw}
 	data := dataOf(raw)
 	if len(data) == 0 {
-		return e, nil // a comment that keeps the connection alive
+		return e, nil // a keep-alive comment
 	}
 	if bytes.Equal(data, doneMarker) {
 		e.Done = true
@@ -159,8 +159,8 @@
 	return e, nil
 }
 
-// tokenOf gives the engine's token count or, when it does not count, one for
-// each event with text.
+// tokenOf returns the engine's token number. If the engine does not number tokens,
+// each event with text counts as one.
 func (r *eventReader) tokenOf(e *Event) int {
 	if e.chunk.Gate.Token > 0 {
 		return e.chunk.Gate.Token
--- a/internal/gate/proxy/flight.go
+++ b/internal/gate/proxy/flight.go
@@ -12,33 +12,32 @@
 	"slateway.example/slateway/internal/route"
 )
 
-// flight is one request in progress: its attempts fill it, and the goroutine
-// that serves the caller empties it. A slow caller therefore never makes a
-// healthy stream look silent.
+// flight is one request in progress. Its attempts append to its buffer, and the
+// goroutine that serves the caller drains it, so that a slow caller never makes a
+// healthy stream appear stalled.
 type flight struct {
-	shard    *shard
-	request  route.Request
-	protocol Protocol
-	started  time.Time
-	held     func() *apierr.Error // see BatchItem; nil: always
-
-	attempts sync.WaitGroup
-	sent     atomic.Bool   // an attempt was begun
-	wake     chan struct{} // holds one token when there is something to do
-
-	mu       sync.Mutex
-	pending  bytes.Buffer // stream events that the caller has not been given yet
-	text     strings.Builder
-	tokens   int    // the number of the last event or token that text holds
-	head     *Reply // of the first answer that was used, of a stream
-	reply    *Reply // the whole answer, of a request that is not streamed
-	err      *apierr.Error
-	finished bool
-	// restarted: an attempt began at the start after another had made something.
-	restarted bool
-	meta      answerMeta
-	lastAt    time.Time     // when the last event came
-	pause     time.Duration // the longest between two events
+	shard      *shard
+	request    route.Request
+	protocol   Protocol
+	started    time.Time
+	checkLease func() *apierr.Error // see BatchItem; nil: no check
+
+	attempts  sync.WaitGroup
+	attempted atomic.Bool   // at least one attempt was started
+	wake      chan struct{} // holds one value when there is something to do
+
+	mu          sync.Mutex
+	pending     bytes.Buffer // stream events not yet delivered to the caller
+	text        strings.Builder
+	tokens      int    // number of the last event or token in text
+	head        *Reply // of a stream, from the first answer used
+	reply       *Reply // whole answer of a request that is not streamed
+	err         *apierr.Error
+	finished    bool
+	restarted   bool // an attempt started over after another had produced output
+	meta        answerMeta
+	lastEventAt time.Time     // arrival of the last event
+	maxGap      time.Duration // longest time between two events
 }
 
 func newFlight(s *shard, request route.Request, p Protocol) *flight {
@@ -50,19 +49,19 @@
 
 func (f *flight) newAttempt(o route.Dispatch) *attempt {
 	f.attempts.Add(1)
-	f.sent.Store(true)
+	f.attempted.Store(true)
 	return newAttempt(f, o)
 }
 
-// longestPause gives the longest time between two events.
-func (f *flight) longestPause() time.Duration {
+// longestGap returns the longest time between two events.
+func (f *flight) longestGap() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.pause
+	return f.maxGap
 }
 
-// wasSent says whether any attempt was begun.
-func (f *flight) wasSent() bool { return f.sent.Load() }
+// wasAttempted reports whether any attempt was started.
+func (f *flight) wasAttempted() bool { return f.attempted.Load() }
 
 func (f *flight) signal() {
 	select {
@@ -71,15 +70,16 @@
 	}
 }
 
-// end gives the flight its final answer; only the first one counts.
-func (f *flight) end(err *apierr.Error) {
+// finish ends the flight with an error, or with its answer if err is nil. Only the
+// first call has an effect.
+func (f *flight) finish(err *apierr.Error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.finish(err)
+	f.finishLocked(err)
 }
 
-// finish is end with the lock held.
-func (f *flight) finish(err *apierr.Error) {
+// finishLocked is finish with the lock held.
+func (f *flight) finishLocked(err *apierr.Error) {
 	if f.finished {
 		return
 	}
@@ -88,32 +88,33 @@
 	f.signal()
 }
 
-// ReasonAnswerTooLong counts answers that were given up because the gate does not
-// hold so much for one caller: an endless stream, or a caller that reads slowly.
+// ReasonAnswerTooLong counts answers aborted because they exceed the buffer that a
+// gate keeps for one request: an endless stream, or a caller that reads slowly.
 const ReasonAnswerTooLong apierr.Reason = "answer_too_long"
 
-func tooLong() *apierr.Error {
+func answerTooLong() *apierr.Error {
 	return apierr.New(apierr.BadUpstream, ReasonAnswerTooLong, "ask for fewer tokens, and read the stream as it comes",
-		"the answer is longer than a gate holds for one request").WithRan(apierr.RanUnknown)
+		"the answer exceeds the buffer that a gate keeps for one request").WithRan(apierr.RanUnknown)
 }
 
-// succeed gives the flight its whole answer.
+// succeed ends the flight with its answer.
 func (f *flight) succeed(r *Reply) {
 	f.mu.Lock()
 	f.reply = r
 	f.mu.Unlock()
-	f.end(nil)
+	f.finish(nil)
 }
 
-// reached tells a new attempt where to go on.
-func (f *flight) reached() (tokens int, prefix string) {
+// resumePoint returns the event or token up to which the answer has been received,
+// and its text.
+func (f *flight) resumePoint() (tokens int, prefix string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.tokens, f.text.String()
 }
 
-// restart forgets what an earlier attempt generated, when the next one begins
-// at the start. It is only called while nothing has been delivered.
+// restart discards the output of earlier attempts before an attempt that starts
+// over. It is only called while nothing has been delivered.
 func (f *flight) restart() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -123,8 +124,8 @@
 	f.meta = answerMeta{}
 }
 
-// open notes the head of an attempt's answer; the first one stays.
-func (f *flight) open(a *attempt, head *Reply) {
+// setHead records the head of an attempt's answer; the first one is kept.
+func (f *flight) setHead(a *attempt, head *Reply) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.head == nil && !a.stopped.Load() {
@@ -132,45 +133,44 @@
 	}
 }
 
-// hasBegun says whether the caller of a stream has its head, and may have part of it.
-//
-// Failure guarded against: an attempt that was to go on with the stream is answered by
-// a failure that is no stream. Taken for the request's whole answer, it would end the
+// streamStarted reports whether the caller of a stream has received its head.
+// Afterwards an attempt that is answered without a stream, for example with an
+// error, must not become the request's whole answer: that would end the caller's
 // stream as if it were complete.
-func (f *flight) hasBegun() bool {
+func (f *flight) streamStarted() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.protocol.Streams() && f.head != nil
 }
 
-// errUnused says that the attempt was stopped, so that nothing of it is used.
-var errUnused = errors.New("the attempt was stopped")
+// errAttemptStopped means that the attempt was cancelled and its answer must not be used.
+var errAttemptStopped = errors.New("the attempt was cancelled")
 
-// add takes in one stream event of an attempt.
-func (f *flight) add(a *attempt, e *Event) error {
+// addEvent adds one stream event of an attempt to the answer.
+func (f *flight) addEvent(a *attempt, e *Event) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if a.stopped.Load() || f.finished {
-		return errUnused
+		return errAttemptStopped
 	}
-	if e.repeats(f.tokens) {
+	if e.isDuplicate(f.tokens) {
 		return nil
 	}
 	if e.Numbered && !e.Done && e.Token != f.tokens+1 {
 		return ErrMalformed
 	}
 	if f.text.Len()+f.pending.Len()+len(e.Raw) > f.shard.router.options.MaxAnswerBytes {
-		f.finish(tooLong())
-		return errUnused
+		f.finishLocked(answerTooLong())
+		return errAttemptStopped
 	}
 	now := time.Now()
-	if !f.lastAt.IsZero() {
-		f.pause = max(f.pause, now.Sub(f.lastAt))
+	if !f.lastEventAt.IsZero() {
+		f.maxGap = max(f.maxGap, now.Sub(f.lastEventAt))
 	}
-	f.lastAt = now
+	f.lastEventAt = now
 	f.tokens = max(f.tokens, e.Token)
 	f.text.WriteString(e.Text)
-	f.meta.take(e)
+	f.meta.update(e)
 	if f.protocol.Streams() {
 		f.pending.Write(e.Raw)
 		f.signal()
@@ -178,15 +178,16 @@
 	return nil
 }
 
-// progress gives what the attempts have given so far.
+// progress returns the part of the answer received so far.
 func (f *flight) progress() *Progress {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return &Progress{Head: f.head, Tokens: f.tokens, Text: f.text.String(), meta: f.meta}
 }
 
-// take returns what the caller has not been given yet, and whether it is all.
-func (f *flight) take(into *bytes.Buffer) (head *Reply, finished bool) {
+// takePending moves the events not yet delivered to into, and returns the stream's head
+// and whether the flight has finished.
+func (f *flight) takePending(into *bytes.Buffer) (head *Reply, finished bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	into.Reset()
@@ -195,7 +196,7 @@
 	return f.head, f.finished
 }
 
-// outcome returns the final answer; call it after the flight has finished.
+// outcome returns the answer or error of a finished flight.
 func (f *flight) outcome() (*Reply, *apierr.Error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gate/proxy/form.go
+++ b/internal/gate/proxy/form.go
@@ -15,30 +15,30 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// form is the project's own Protocol: engines by the OpenAI protocol, and plain
-// services as they are called.
-type form struct {
+// httpProtocol is the Protocol for engines that speak the OpenAI protocol and for
+// plain HTTP services.
+type httpProtocol struct {
 	method string
 	path   string
 	header http.Header
 	body   []byte
 
-	engine bool // by the engine protocol; otherwise as a plain call
-	stream bool // the caller gets the answer as a stream of events
-	// assemble: the answer is asked for as a stream, to see its progress and
-	// to go on after a failure, and put together for the caller.
-	assemble bool
-	fields   map[string]json.RawMessage // of an engine's body
+	engine bool // OpenAI protocol; otherwise a plain HTTP call
+	stream bool // the caller receives a stream of events
+	// assembled is set if the answer is requested as a stream, to observe its progress
+	// and to resume it after a failure, and assembled for the caller.
+	assembled bool
+	fields    map[string]json.RawMessage // of a body for an engine
 }
 
-// plainOnly lists body fields whose answers the gate does not put together
-// from a stream; such requests are sent as they are, and start anew after a
+// unassembledFields lists body fields whose answers the gate cannot assemble from a
+// stream. Requests with such a field are sent unchanged and start over after a
 // failure.
-var plainOnly = []string{"n", "best_of", "tools", "tool_choice", "functions", "logprobs", "top_logprobs", "audio", "modalities", "echo"}
+var unassembledFields = []string{"n", "best_of", "tools", "tool_choice", "functions", "logprobs", "top_logprobs", "audio", "modalities", "echo"}
 
-// engineForm prepares a request in the OpenAI protocol.
-func engineForm(path string, body []byte, stream bool) *form {
-	f := &form{
+// newEngineProtocol creates the Protocol of a request to an engine.
+func newEngineProtocol(path string, body []byte, stream bool) *httpProtocol {
+	f := &httpProtocol{
 		method: http.MethodPost,
 		path:   path,
 		header: http.Header{"Content-Type": {"application/json"}},
@@ -49,20 +49,21 @@
 	if json.Unmarshal(body, &f.fields) != nil {
 		f.fields = nil
 	}
-	f.assemble = !stream && f.simple()
+	f.assembled = !stream && f.isSingleText()
 	return f
 }
 
-// ReasonBadPath counts requests whose path no upstream of their kind may be sent.
+// ReasonBadPath counts requests with a path that may not be sent to upstreams of
+// their kind.
 const ReasonBadPath apierr.Reason = "bad_path"
 
-// Check refuses paths beyond those that callers may use: an engine takes orders
-// on others, and one that does not begin with a slash would change the address
-// that the request goes to.
-func (f *form) Check() *apierr.Error {
+// Check refuses paths that callers may not use. Other paths of an engine accept
+// administrative commands, and a path without a leading slash would change the
+// address to which the request is sent.
+func (f *httpProtocol) Check() *apierr.Error {
 	if f.engine && f.path != PathChat && f.path != PathCompletions {
 		return apierr.New(apierr.Invalid, ReasonBadPath, "use "+PathChat+" or "+PathCompletions,
-			"engines are not asked for %q", f.path)
+			"the path %q is not allowed for engines", f.path)
 	}
 	if !strings.HasPrefix(f.path, "/") {
 		return apierr.New(apierr.Invalid, ReasonBadPath, "begin the path with a slash", "the path %q is not absolute", f.path)
@@ -70,20 +71,20 @@
 	return nil
 }
 
-// Kind gives the kind of upstream that speaks it.
-func (f *form) Kind() upstream.Kind {
+// Kind returns the kind of upstream that serves the request.
+func (f *httpProtocol) Kind() upstream.Kind {
 	if f.engine {
 		return upstream.KindEngine
 	}
 	return upstream.KindService
 }
 
-// simple says whether the answer is one text, which can be resumed.
-func (f *form) simple() bool {
+// isSingleText reports whether the answer is a single text, which can be resumed.
+func (f *httpProtocol) isSingleText() bool {
 	if f.fields == nil || (f.path != PathChat && f.path != PathCompletions) {
 		return false
 	}
-	for _, name := range plainOnly {
+	for _, name := range unassembledFields {
 		if _, present := f.fields[name]; present {
 			return false
 		}
@@ -91,26 +92,26 @@
 	return true
 }
 
-// Resumable says whether the answer may be continued by another replica.
-func (f *form) Resumable() bool { return f.engine && f.simple() }
+// Resumable reports whether another replica may continue the answer.
+func (f *httpProtocol) Resumable() bool { return f.engine && f.isSingleText() }
 
-// resumeField is what an engine needs to go on with a stream.
+// resumeField tells an engine where to continue a stream.
 type resumeField struct {
 	ResumeFrom int    `json:"resume_from"`
 	Prefix     string `json:"prefix"`
 }
 
-// bodyFor gives the body of an attempt that goes on after tokens, of which
-// prefix is the text; tokens is 0 for one from the start.
-func (f *form) bodyFor(tokens int, prefix string) ([]byte, error) {
-	if tokens == 0 && !f.assemble {
+// bodyFor returns the body of an attempt that continues after the given number of
+// tokens, of which prefix is the text; tokens is 0 for one from the start.
+func (f *httpProtocol) bodyFor(tokens int, prefix string) ([]byte, error) {
+	if tokens == 0 && !f.assembled {
 		return f.body, nil
 	}
 	fields := make(map[string]any, len(f.fields)+3)
 	for name, value := range f.fields {
 		fields[name] = value
 	}
-	if f.assemble {
+	if f.assembled {
 		fields["stream"] = true
 		if _, present := f.fields["stream_options"]; !present {
 			fields["stream_options"] = streamOptions{IncludeUsage: true}
@@ -122,23 +123,23 @@
 	return json.Marshal(fields)
 }
 
-// streamOptions asks the engine to report the tokens used, which a plain answer
-// holds.
+// streamOptions asks the engine to report the number of tokens used, as it does in
+// an unstreamed answer.
 type streamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// Streams says whether the caller gets events.
-func (f *form) Streams() bool { return f.stream }
+// Streams reports whether the caller receives events.
+func (f *httpProtocol) Streams() bool { return f.stream }
 
-// EndsByClose is false: such an answer may have been cut short.
-func (f *form) EndsByClose() bool { return false }
+// AllowsCloseDelimited returns false, since such an answer may be truncated.
+func (f *httpProtocol) EndsByClose() bool { return false }
 
-// Start is 0: callers of this protocol begin at the start.
-func (f *form) Start() int { return 0 }
+// LastReceived returns 0, since callers of this protocol cannot resume.
+func (f *httpProtocol) Start() int { return 0 }
 
-// Request builds the request of a try.
-func (f *form) Request(ctx context.Context, try *Try) (*http.Request, error) {
+// Request builds the HTTP request of an attempt.
+func (f *httpProtocol) Request(ctx context.Context, try *Try) (*http.Request, error) {
 	body := f.body
 	if f.engine {
 		var err error
@@ -158,16 +159,16 @@
 	return request, nil
 }
 
-// upstreamID names the attempt to the upstream. Each attempt has its own, so
-// that a late answer to an earlier attempt is never taken for the current one,
-// and cancelling one does not cancel the other.
+// upstreamID returns the request ID that the upstream sees. It is unique for each
+// attempt, so that a delayed answer to an earlier attempt is never mistaken for the
+// current one and cancelling one attempt does not cancel another.
 func upstreamID(request string, attempt route.AttemptID) string {
 	return request + "." + strconv.FormatUint(uint64(attempt), 10)
 }
 
-// Judge refuses answers to other requests, and those of an engine that say that
-// it did not serve the request.
-func (f *form) Judge(answer *http.Response, try *Try) Verdict {
+// InspectHead rejects answers to other requests and an engine's error statuses that
+// mean that it did not serve the request.
+func (f *httpProtocol) Judge(answer *http.Response, try *Try) Verdict {
 	if echoed := answer.Header.Get(HeaderRequestID); echoed != "" && echoed != upstreamID(try.RequestID, try.Attempt) {
 		return Verdict{Cause: route.CauseMismatch}
 	}
@@ -184,28 +185,29 @@
 	return verdict
 }
 
-// Events reads an engine's stream.
-func (f *form) Events(answer *http.Response) EventSource {
+// Events returns the events of an engine's stream, or nil if the answer is not one.
+func (f *httpProtocol) Events(answer *http.Response) EventSource {
 	media, _, err := mime.ParseMediaType(answer.Header.Get("Content-Type"))
 	isStream := err == nil && media == "text/event-stream" && answer.StatusCode == http.StatusOK
-	if !isStream || (!f.stream && !f.assemble) {
+	if !isStream || (!f.stream && !f.assembled) {
 		return nil
 	}
 	return newEventReader(answer.Body)
 }
 
-// prefixBytes is how much of a prompt's text decides its affinity: enough to
-// tell instructions apart, short enough that prompts that share them agree.
+// prefixBytes is the length of the prompt prefix that determines prefix affinity.
+// It is long enough to distinguish system instructions, and short enough that
+// prompts with the same instructions share it.
 const prefixBytes = 64
 
-// message is the part of a chat message that affinity reads.
+// message is the part of a chat message that determines prefix affinity.
 type message struct {
 	Content json.RawMessage `json:"content"`
 }
 
-// prefixHash hashes the model and the start of the prompt's text; 0 when there
-// is none.
-func (f *form) prefixHash() uint64 {
+// prefixHash returns a hash of the model and the start of the prompt's text, or 0 if
+// there is no prompt.
+func (f *httpProtocol) prefixHash() uint64 {
 	text := f.promptStart()
 	if len(text) == 0 {
 		return 0
@@ -216,9 +218,9 @@
 	return max(1, digest.Sum64())
 }
 
-// promptStart gives at least the first prefixBytes of the prompt's text, if it
-// is so long; a chat's messages follow each other.
-func (f *form) promptStart() []byte {
+// promptStart returns at least the first prefixBytes of the prompt, or all of a
+// shorter one. The messages of a chat are concatenated.
+func (f *httpProtocol) promptStart() []byte {
 	if prompt := f.fields["prompt"]; prompt != nil {
 		return prompt
 	}
--- a/internal/gate/proxy/gates_test.go
+++ b/internal/gate/proxy/gates_test.go
@@ -18,8 +18,8 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// newGates makes gates of one place that tell each other of usages and strikes,
-// before the same engines.
+// newGates creates gates of one place in front of the same engines, which exchange
+// load reports and crash records.
 func newGates(count int, engines ...*fakeEngine) []*proxy.Router {
 	var routers []*proxy.Router
 	var gates []route.Gate
@@ -56,7 +56,7 @@
 
 var lastID atomic.Int64
 
-// ask sends an online request through a gate and returns its answer.
+// ask sends an online request through a gate and returns the answer.
 func ask(r *proxy.Router, prompt string) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	r.ServeOnline(w, httptest.NewRequest(http.MethodPost, proxy.PathChat, nil), proxy.OnlineRequest{
@@ -68,22 +68,22 @@
 }
 
 var _ = Describe("several gates", func() {
-	It("free a slot that one fills with batch for a request that came to another", func() {
-		// An editor's request comes to a gate that runs no batch; another gate has
-		// filled the only engine with it. The request must not wait for an item
-		// to end, though no gate sees both.
+	It("preempt batch items of the owner gate for a request to another gate", func() {
+		// Guards against an online request that waits for a batch item to end: it
+		// arrives at one gate while another gate has filled the only engine with batch
+		// items, and neither gate sees both.
 		e := newFakeEngine("r1", 40, 0)
 		e.hold = make(chan struct{})
 		gates := newGates(2, e)
-		feeder, other := gates[0], gates[1]
-		if gates[0].Upstreams()[0].Feeder != "gate-0" {
-			feeder, other = other, feeder
+		owner, other := gates[0], gates[1]
+		if gates[0].Upstreams()[0].OwnerGate != "gate-0" {
+			owner, other = other, owner
 		}
-		Expect(other.BatchRoom("wordroom", route.ThroughputPolicy())).To(BeZero())
+		Expect(other.BatchCapacity("wordroom", route.ThroughputPolicy())).To(BeZero())
 		results := make(chan proxy.BatchResult, 4)
 		for i := range 4 {
 			go func() {
-				result, _ := feeder.RunBatch(context.Background(), proxy.BatchItem{
+				result, _ := owner.RunBatch(context.Background(), proxy.BatchItem{
 					ID: fmt.Sprint("item-", i), Service: "wordroom", Body: []byte(plainBody), Repeatable: true,
 					Policy: route.ThroughputPolicy(),
 				})
@@ -93,7 +93,7 @@
 		Eventually(e.count(func(e *fakeEngine) int { return e.served }), wait).Should(Equal(4))
 		answer := make(chan string, 1)
 		go func() { answer <- ask(other, "headlines").Body.String() }()
-		Eventually(e.count(func(e *fakeEngine) int { return e.stopped }), wait).Should(Equal(1), "one item gave way")
+		Eventually(e.count(func(e *fakeEngine) int { return e.stopped }), wait).Should(Equal(1), "one item was preempted")
 		close(e.hold)
 		var data string
 		Eventually(answer, wait).Should(Receive(&data))
@@ -105,9 +105,9 @@
 		}
 	})
 
-	It("lose two replicas at most to a request that its caller sends again and again", func() {
-		// One request ends the process of each engine that runs it. Its caller
-		// sends it 50 times, through one gate after another. Others keep asking.
+	It("lose at most two replicas to a poison request that its caller resends", func() {
+		// The request crashes each engine that runs it. Its caller sends it 50 times,
+		// alternating between gates, while other callers keep sending requests.
 		engines := make([]*fakeEngine, 5)
 		for i := range engines {
 			engines[i] = newFakeEngine(upstream.ReplicaID(fmt.Sprint("r", i)), 5, time.Millisecond)
@@ -160,7 +160,7 @@
 		return w, &calls
 	}
 
-	It("get the call as it came, without the caller's token", func() {
+	It("receive the call unchanged but for the caller's token", func() {
 		w, _ := serve(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("X-Plate", r.URL.Query().Get("state")+r.Header.Get("Authorization"))
 			w.WriteHeader(http.StatusTeapot)
@@ -169,7 +169,7 @@
 		Expect(w.Header().Get("X-Plate")).To(Equal("tx"))
 	})
 
-	It("are the only ones that a call to a service reaches, under a path of their own", func() {
+	It("are the only upstreams of a service call, under absolute paths", func() {
 		e := newFakeEngine("r1", 5, 0)
 		router := newGates(1, e)[0]
 		call := func(path string) *apierr.Error {
@@ -187,16 +187,16 @@
 		Expect(e.count(func(e *fakeEngine) int { return e.served })()).To(BeZero())
 	})
 
-	It("run a call once that may not be repeated, also when it carries a key", func() {
-		// The connection ends after the service has confirmed the plate. An HTTP
-		// client would send a request with an idempotency key again by itself.
+	It("run a non-repeatable call once, even with an idempotency key", func() {
+		// The connection ends after the service has run the call. net/http would retry
+		// a request with an idempotency key by itself.
 		w, calls := serve(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, false)
 		Expect(w.Code).To(Equal(http.StatusBadGateway))
 		Expect(apierr.ParseHTTP(w.Body.Bytes()).Ran).To(Equal(apierr.RanUnknown))
 		Expect(calls.Load()).To(BeEquivalentTo(1))
 	})
 
-	It("have no truncated answer passed on as whole", func() {
+	It("never have a truncated answer forwarded as complete", func() {
 		w, calls := serve(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "10")
 			_, _ = w.Write([]byte("half"))
--- a/internal/gate/proxy/links.go
+++ b/internal/gate/proxy/links.go
@@ -17,21 +17,21 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// links holds the connections to upstreams: a pool for each replica, so that
-// the pool of one can be dropped when a connection of it has gone silent.
-type links struct {
+// transports holds the connections to upstreams. Each replica has a pool of its
+// own, which is dropped when one of its connections has stalled.
+type transports struct {
 	dialer *net.Dialer
-	// fresh opens a connection for each request. Probes need one, to tell a
-	// silent connection from a dead replica; requests that may not be repeated
-	// need one, since a pooled connection that the upstream closes at the same
-	// moment leaves open whether the request ran.
+	// fresh opens a new connection for each request. Probes use it to distinguish a
+	// stalled connection from a dead replica. Requests that may not be repeated use
+	// it because, if the upstream closes a pooled connection just then, it is unknown
+	// whether the request ran.
 	fresh        *http.Transport
 	probeTimeout time.Duration
-	ask          func(ctx context.Context, address string) ProbeResult
+	probeFunc    func(ctx context.Context, address string) ProbeResult
 
-	mu     sync.Mutex // guards what follows
-	pools  map[upstream.ReplicaID]*http.Transport
-	limits *route.DialLimits
+	mu         sync.Mutex // guards the fields below
+	pools      map[upstream.ReplicaID]*http.Transport
+	dialLimits *route.DialLimits
 }
 
 // Sizes and times of a connection pool.
@@ -40,20 +40,20 @@
 	idleTimeout       = 30 * time.Second
 )
 
-func newLinks(o Options) *links {
-	l := &links{
+func newTransports(o Options) *transports {
+	l := &transports{
 		dialer:       sockets.Dialer(o.DialTimeout, o.Unanswered),
 		probeTimeout: o.ProbeTimeout,
-		ask:          o.Probe,
+		probeFunc:    o.Probe,
 		pools:        make(map[upstream.ReplicaID]*http.Transport),
-		limits:       route.NewDialLimits(o.DialTimeout),
+		dialLimits:   route.NewDialLimits(o.DialTimeout),
 	}
 	l.fresh = l.newTransport()
 	l.fresh.DisableKeepAlives = true
 	return l
 }
 
-func (l *links) newTransport() *http.Transport {
+func (l *transports) newTransport() *http.Transport {
 	return &http.Transport{
 		DialContext:         l.dial,
 		MaxIdleConnsPerHost: maxIdlePerReplica,
@@ -62,36 +62,36 @@
 	}
 }
 
-// dial opens a connection to an upstream within the limit learned for it.
-func (l *links) dial(ctx context.Context, network, address string) (net.Conn, error) {
+// dial opens a connection to an upstream within the dial limit learned for it.
+func (l *transports) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.dialLimit(address))
 	defer cancel()
 	start := time.Now()
 	connection, err := l.dialer.DialContext(ctx, network, address)
-	l.dialed(address, time.Since(start), err)
+	l.recordDial(address, time.Since(start), err)
 	return connection, err
 }
 
-func (l *links) dialLimit(address string) time.Duration {
+func (l *transports) dialLimit(address string) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.limits.Limit(address)
+	return l.dialLimits.Limit(address)
 }
 
-// dialed reports how a connection came. One that was refused tells nothing of the
-// time that connections take.
-func (l *links) dialed(address string, took time.Duration, err error) {
+// recordDial updates an address's dial limit with the result of a dial. A refused
+// connection says nothing about the time that connections take.
+func (l *transports) recordDial(address string, took time.Duration, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case err == nil:
-		l.limits.Connected(address, took)
+		l.dialLimits.Connected(address, took)
 	case errors.Is(err, context.DeadlineExceeded), errors.Is(err, os.ErrDeadlineExceeded):
-		l.limits.Missed(address)
+		l.dialLimits.Missed(address)
 	}
 }
 
-func (l *links) pool(id upstream.ReplicaID) *http.Transport {
+func (l *transports) pool(id upstream.ReplicaID) *http.Transport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	pool := l.pools[id]
@@ -102,9 +102,9 @@
 	return pool
 }
 
-// reset drops a replica's pool: its idle connections are closed, and requests
-// that still use the old pool do not return theirs to the new one.
-func (l *links) reset(id upstream.ReplicaID) {
+// reset drops a replica's pool and closes its idle connections. Connections still in
+// use are not returned to the new pool.
+func (l *transports) reset(id upstream.ReplicaID) {
 	l.mu.Lock()
 	pool := l.pools[id]
 	delete(l.pools, id)
@@ -114,7 +114,7 @@
 	}
 }
 
-func (l *links) close() {
+func (l *transports) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, pool := range l.pools {
@@ -123,46 +123,47 @@
 	l.fresh.CloseIdleConnections()
 }
 
-// ProbeResult says what a fresh connection to a replica found.
+// ProbeResult is the result of a probe over a new connection.
 type ProbeResult struct {
-	Alive       bool // something answered
-	Refused     bool // the VM answers and no process listens
+	Alive       bool // the process answered
+	Refused     bool // the VM answers but no process listens
 	Incarnation uint64
 }
 
-// maxProbeBytes bounds the answer that a probe reads.
+// maxProbeBytes limits how much of an answer a probe reads.
 const maxProbeBytes = 4096
 
-// probe asks whether the process at an address lives.
-func (l *links) probe(address string) ProbeResult {
-	if l.ask == nil {
+// probe checks whether the process at an address is alive.
+func (l *transports) probe(address string) ProbeResult {
+	if l.probeFunc == nil {
 		ctx, cancel := context.WithTimeout(context.Background(), l.probeTimeout)
 		defer cancel()
-		return l.askLoad(ctx, address)
+		return l.probeLoad(ctx, address)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), min(l.probeTimeout, l.dialLimit(address)))
 	defer cancel()
 	start := time.Now()
-	found := l.ask(ctx, address)
-	l.probed(address, time.Since(start), found)
-	return found
+	result := l.probeFunc(ctx, address)
+	l.recordProbe(address, time.Since(start), result)
+	return result
 }
 
-// probed learns from a probe that only opens a connection.
-func (l *links) probed(address string, took time.Duration, found ProbeResult) {
+// recordProbe updates an address's dial limit with the result of a probe that only
+// opens a connection.
+func (l *transports) recordProbe(address string, took time.Duration, result ProbeResult) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case found.Alive:
-		l.limits.Connected(address, took)
-	case !found.Refused:
-		l.limits.Missed(address)
+	case result.Alive:
+		l.dialLimits.Connected(address, took)
+	case !result.Refused:
+		l.dialLimits.Missed(address)
 	}
 }
 
-// askLoad asks an engine for its load. Any HTTP answer shows a live process: a
-// frozen one still accepts connections, but never answers.
-func (l *links) askLoad(ctx context.Context, address string) ProbeResult {
+// probeLoad requests an engine's load. Any HTTP answer proves that the process is
+// alive; a frozen one still accepts connections but never answers.
+func (l *transports) probeLoad(ctx context.Context, address string) ProbeResult {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+PathLoad, nil)
 	if err != nil {
 		return ProbeResult{}
@@ -179,12 +180,12 @@
 	var load struct {
 		Incarnation uint64 `json:"incarnation"`
 	}
-	_ = json.Unmarshal(data, &load) // plain services need not report a load
+	_ = json.Unmarshal(data, &load) // plain services may answer without a load
 	return ProbeResult{Alive: true, Incarnation: load.Incarnation}
 }
 
-// ProbeConnection finds out whether a process listens at an address by opening a
-// connection. It takes no slot of the replica; a process that is frozen passes.
+// ProbeConnection checks whether a process listens at an address by opening a
+// connection. It uses no slot of the replica, but does not detect a frozen process.
 func ProbeConnection(ctx context.Context, address string) ProbeResult {
 	connection, err := new(net.Dialer).DialContext(ctx, "tcp", address)
 	if err != nil {
--- a/internal/gate/proxy/move.go
+++ b/internal/gate/proxy/move.go
@@ -13,15 +13,15 @@
 	"slateway.example/slateway/internal/telemetry"
 )
 
-// moveTimeout bounds the call that stops a run. Its answer is worth waiting for when
-// a packet of it is lost too: without it, a run that was stopped cannot go on.
+// moveTimeout limits the call that stops a run. It allows for the retransmission of
+// a lost packet, since a stopped run cannot continue without the call's answer.
 const moveTimeout = 500 * time.Millisecond
 
-// errCannotMove says that a flight's upstreams keep no memory of runs.
-var errCannotMove = errors.New("the request's protocol moves no runs")
+// errCannotMove means that a flight's upstreams cannot keep the memory of a run.
+var errCannotMove = errors.New("the request's protocol cannot move a run to another replica")
 
-// handOver asks the replica to stop the run of an attempt, and reports what came of
-// it. The shard's lock is held.
+// handOver asks the replica to stop the run of an attempt, and reports the result.
+// The shard's lock must be held.
 func (s *shard) handOver(o route.HandOver) {
 	f := s.flights[o.ID]
 	if f == nil {
@@ -40,8 +40,8 @@
 }
 
 func (f *flight) move(o route.HandOver) (Move, error) {
-	mover, can := f.protocol.(Mover)
-	if !can {
+	mover, ok := f.protocol.(Mover)
+	if !ok {
 		return Move{}, errCannotMove
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), moveTimeout)
@@ -50,7 +50,7 @@
 	if err != nil {
 		return Move{}, err
 	}
-	response, err := f.shard.router.links.pool(o.From.Replica).RoundTrip(request)
+	response, err := f.shard.router.transports.pool(o.From.Replica).RoundTrip(request)
 	if err != nil {
 		return Move{}, err
 	}
@@ -59,6 +59,6 @@
 	if err != nil {
 		return Move{}, fmt.Errorf("status %d: %w", response.StatusCode, err)
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxProbeBytes)) // so that the connection is used again
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxProbeBytes)) // so that the connection is reused
 	return moved, nil
 }
--- a/internal/gate/proxy/online.go
+++ b/internal/gate/proxy/online.go
@@ -18,9 +18,9 @@
 
 // OnlineRequest is a caller's request to a model engine.
 type OnlineRequest struct {
-	ID         string // unique; the caller sees it in the answer
+	ID         string // unique; returned to the caller in a header
 	Team       string
-	Service    string // the shard: the name that the engines announce
+	Service    string // the service name that the engines announce
 	Model      string // empty: any model of the service
 	Version    string
 	Path       string // PathChat or PathCompletions; empty: PathChat
@@ -31,10 +31,10 @@
 	Limits     route.Limits
 }
 
-// ServeOnline answers a request to a model engine.
+// ServeOnline serves a request to a model engine.
 func (r *Router) ServeOnline(w http.ResponseWriter, hr *http.Request, o OnlineRequest) {
 	setDefault(&o.Path, PathChat)
-	form := engineForm(o.Path, o.Body, o.Stream)
+	form := newEngineProtocol(o.Path, o.Body, o.Stream)
 	r.serveOpenAI(w, hr, o.Service, form, route.Request{
 		ID:          o.ID,
 		Team:        o.Team,
@@ -55,7 +55,7 @@
 	Team       string
 	Service    string
 	Method     string
-	Path       string // with its query, as the service expects it
+	Path       string // includes the query
 	Header     http.Header
 	Body       []byte
 	Repeatable bool
@@ -63,9 +63,9 @@
 	Limits     route.Limits
 }
 
-// ServeService answers a request to a plain service.
+// ServeService serves a request to a plain service.
 func (r *Router) ServeService(w http.ResponseWriter, hr *http.Request, o ServiceRequest) {
-	r.serveOpenAI(w, hr, o.Service, serviceForm(o.Method, o.Path, o.Header, o.Body), route.Request{
+	r.serveOpenAI(w, hr, o.Service, newServiceProtocol(o.Method, o.Path, o.Header, o.Body), route.Request{
 		ID:          o.ID,
 		Team:        o.Team,
 		Deadline:    o.Deadline,
@@ -75,17 +75,17 @@
 	})
 }
 
-// hopHeaders belong to one connection and are not passed on (RFC 9110, 7.6.1).
+// hopHeaders are hop-by-hop headers, which are not forwarded (RFC 9110, 7.6.1).
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// DropHopHeaders removes the headers that concern one connection only, those
-// that a Connection header names among them.
+// DropHopHeaders removes hop-by-hop headers, including those listed in Connection
+// headers.
 func DropHopHeaders(header http.Header) {
-	for _, listed := range header.Values("Connection") {
-		for name := range strings.SplitSeq(listed, ",") {
+	for _, list := range header.Values("Connection") {
+		for name := range strings.SplitSeq(list, ",") {
 			header.Del(strings.TrimSpace(name))
 		}
 	}
@@ -94,17 +94,17 @@
 	}
 }
 
-func serviceForm(method, path string, header http.Header, body []byte) *form {
-	kept := header.Clone()
-	if kept == nil {
-		kept = make(http.Header)
+func newServiceProtocol(method, path string, header http.Header, body []byte) *httpProtocol {
+	forwarded := header.Clone()
+	if forwarded == nil {
+		forwarded = make(http.Header)
 	}
-	DropHopHeaders(kept)
-	kept.Del("Authorization") // the caller's token is for the gate
-	return &form{method: method, path: path, header: kept, body: body}
+	DropHopHeaders(forwarded)
+	forwarded.Del("Authorization") // the caller's token is meant for the gate only
+	return &httpProtocol{method: method, path: path, header: forwarded, body: body}
 }
 
-func (r *Router) serveOpenAI(w http.ResponseWriter, hr *http.Request, service string, f *form, request route.Request) {
+func (r *Router) serveOpenAI(w http.ResponseWriter, hr *http.Request, service string, f *httpProtocol, request route.Request) {
 	if request.Deadline.IsZero() {
 		request.Deadline = time.Now().Add(r.options.DefaultTimeout)
 	}
@@ -113,8 +113,8 @@
 	r.Serve(hr.Context(), caller, service, f, request)
 }
 
-// Serve answers an online request by the protocol; it returns when the caller
-// has its answer or has left, which ends ctx.
+// Serve serves an online request by the given protocol. It returns when the answer
+// is complete or ctx ends because the caller has disconnected.
 func (r *Router) Serve(ctx context.Context, caller Caller, service string, p Protocol, request route.Request) {
 	r.options.Metrics.Count(CountOnlineOffered)
 	request.Class = route.Online
@@ -124,17 +124,17 @@
 		caller.Refuse(err)
 		return
 	}
-	s := r.find(service)
+	s := r.findShard(service)
 	if s == nil {
 		r.options.Metrics.Count(counterName(route.ReasonNoUpstream))
 		caller.Refuse(unknownService(service))
 		return
 	}
 	flight := newFlight(s, request, p)
-	s.open(flight)
+	s.add(flight)
 	d := &delivery{flight: flight, caller: caller, metrics: r.options.Metrics}
 	d.serve(ctx)
-	s.close(flight)
+	s.remove(flight)
 	flight.attempts.Wait()
 }
 
@@ -144,14 +144,14 @@
 		"no replica of service %q has announced itself", service).WithRetryAfter(time.Second)
 }
 
-// delivery gives a flight's answer to its caller as it comes.
+// delivery forwards a flight's answer to its caller as it arrives.
 type delivery struct {
-	flight  *flight
-	caller  Caller
-	metrics Metrics
-	begun   bool          // the head of a stream has been given
-	head    *Reply        // that head
-	first   time.Duration // until then
+	flight          *flight
+	caller          Caller
+	metrics         Metrics
+	headWritten     bool          // the head of a stream has been sent
+	head            *Reply        // that head
+	timeToFirstByte time.Duration // from the request's arrival to the head
 }
 
 func (d *delivery) serve(ctx context.Context) {
@@ -162,17 +162,17 @@
 		select {
 		case <-ctx.Done():
 			d.flight.shard.log().Info("caller left", telemetry.RequestID(d.flight.request.ID), zap.Duration("after", time.Since(d.flight.started)))
-			return // closing the flight stops its attempts
+			return // removing the flight stops its attempts
 		case <-deadline.C:
-			// Closed first: no attempt begins after the caller has its answer, so
-			// that "not run" stays true.
-			d.flight.shard.close(d.flight)
-			d.flight.end(deadlinePassed(d.flight.wasSent()))
+			// The flight is removed first, so that no attempt starts after the caller
+			// has been told that the request did not run.
+			d.flight.shard.remove(d.flight)
+			d.flight.finish(deadlinePassed(d.flight.wasAttempted()))
 			d.metrics.Count(string(route.ReasonDeadline))
 		case <-d.flight.wake:
 		}
-		head, finished := d.flight.take(&events)
-		if events.Len() > 0 && !d.pass(head, events.Bytes()) {
+		head, finished := d.flight.takePending(&events)
+		if events.Len() > 0 && !d.writeEvents(head, events.Bytes()) {
 			return
 		}
 		if finished {
@@ -192,13 +192,13 @@
 	return refusal
 }
 
-func (d *delivery) pass(head *Reply, data []byte) bool {
-	if !d.begun {
-		d.begun = true
+func (d *delivery) writeEvents(head *Reply, data []byte) bool {
+	if !d.headWritten {
+		d.headWritten = true
 		d.head = head
 		d.caller.Begin(head)
-		d.first = time.Since(d.flight.started)
-		d.metrics.Observe(MetricFirstToken, d.first)
+		d.timeToFirstByte = time.Since(d.flight.started)
+		d.metrics.Observe(MetricFirstToken, d.timeToFirstByte)
 	}
 	return d.caller.Events(data)
 }
@@ -206,7 +206,7 @@
 func (d *delivery) finish() {
 	answer, err := d.flight.outcome()
 	switch {
-	case err != nil && d.begun:
+	case err != nil && d.headWritten:
 		d.flight.shard.log().Info("answer broken off", telemetry.RequestID(d.flight.request.ID), telemetry.Reason(string(err.Reason)),
 			zap.Duration("after", time.Since(d.flight.started)), zap.String("message", err.Message))
 		d.caller.Break(err)
@@ -214,7 +214,7 @@
 	case err != nil:
 		d.caller.Refuse(err)
 		return
-	case d.begun:
+	case d.headWritten:
 		d.caller.End()
 	default:
 		d.caller.Whole(answer)
@@ -222,14 +222,14 @@
 	d.metrics.Count(CountOnlineDone)
 	d.metrics.Observe(MetricAnswer, time.Since(d.flight.started))
 	d.flight.shard.log().Info("request answered", telemetry.RequestID(d.flight.request.ID), zap.Int("status", d.status(answer)),
-		zap.Duration("first", d.first),
-		zap.Duration("longest_pause", d.flight.longestPause()),
+		zap.Duration("first", d.timeToFirstByte),
+		zap.Duration("longest_pause", d.flight.longestGap()),
 		zap.Duration("after", time.Since(d.flight.started)))
 }
 
-// status gives the status that the caller has.
+// status returns the HTTP status that the caller received.
 func (d *delivery) status(whole *Reply) int {
-	if d.begun {
+	if d.headWritten {
 		return d.head.Status
 	}
 	return whole.Status
@@ -242,7 +242,7 @@
 	control *http.ResponseController
 }
 
-// Begin opens a stream of events.
+// Begin starts a stream of events.
 func (c *openAICaller) Begin(*Reply) {
 	header := c.w.Header()
 	header.Set("Content-Type", "text/event-stream")
@@ -250,7 +250,7 @@
 	c.w.WriteHeader(http.StatusOK)
 }
 
-// Events writes events at once.
+// Events writes and flushes events.
 func (c *openAICaller) Events(data []byte) bool {
 	if _, err := c.w.Write(data); err != nil {
 		return false
@@ -258,19 +258,19 @@
 	return c.control.Flush() == nil
 }
 
-// End has nothing to add: the last event says that the answer is whole.
+// End does nothing; the last event has marked the answer as complete.
 func (c *openAICaller) End() {}
 
-// Break tells why by an event, as the status line is gone; the missing last
-// event tells that the answer is not whole.
+// Abort writes the error as an event, since the status line has been sent. The
+// missing last event shows that the answer is incomplete.
 func (c *openAICaller) Break(err *apierr.Error) {
-	_ = c.Events([]byte("data: " + string(err.JSON()) + "\n\n")) // a caller that has left needs no reason
+	_ = c.Events([]byte("data: " + string(err.JSON()) + "\n\n")) // the caller may have disconnected
 }
 
 // Refuse writes the error as the answer.
 func (c *openAICaller) Refuse(err *apierr.Error) { apierr.WriteHTTP(c.w, err) }
 
-// Whole writes an answer that is not streamed.
+// Respond writes an answer that is not streamed.
 func (c *openAICaller) Whole(answer *Reply) {
 	header := c.w.Header()
 	for name, values := range answer.Header {
@@ -281,5 +281,5 @@
 	header.Set(HeaderRequestID, c.id)
 	header.Set("Content-Length", strconv.Itoa(len(answer.Body)))
 	c.w.WriteHeader(answer.Status)
-	_, _ = c.w.Write(answer.Body) // a caller that has left needs no answer
+	_, _ = c.w.Write(answer.Body) // the caller may have disconnected
 }
--- a/internal/gate/proxy/options.go
+++ b/internal/gate/proxy/options.go
@@ -1,7 +1,6 @@
-// Package proxy is the gate's shell around the routing decisions: it keeps a
-// shard of them for each service under a lock of its own, sends requests to
-// upstreams as the decisions say, reports back what happens, and passes answers
-// on to their callers.
+// Package proxy forwards requests to upstreams. It runs one routing state machine
+// for each service, behind a lock of its own, executes the decisions of package
+// route, reports their results back to it, and forwards answers to callers.
 package proxy
 
 import (
@@ -16,11 +15,11 @@
 
 // Headers between gates and upstreams.
 const (
-	// HeaderRequestID names the request; engines echo it, so that an answer is
-	// never passed on to another caller.
+	// HeaderRequestID identifies the request. Engines echo it, so that an answer is
+	// never forwarded to another caller.
 	HeaderRequestID = "Slateway-Request-Id"
-	// HeaderDeadline is the time left to answer, in whole milliseconds: clocks
-	// of two VMs differ, a duration does not.
+	// HeaderDeadline is the time left to answer, in whole milliseconds. It is
+	// relative because the clocks of two VMs may differ.
 	HeaderDeadline = "Slateway-Deadline"
 	// HeaderQueued is 1 in an engine's answer if the request had to wait for a
 	// slot, else 0.
@@ -35,21 +34,21 @@
 	PathLoad        = "/v1/load"
 )
 
-// Metrics counts reasons and measures delays.
+// Metrics counts reasons and records durations.
 type Metrics interface {
 	Count(name string)
 	Observe(name string, d time.Duration)
 }
 
-// Names of the delays given to Metrics.
+// Names of the durations passed to Metrics.Observe.
 const (
 	MetricFirstToken = "online_first_token" // arrival of the request to the first byte of its answer
 	MetricAnswer     = "online_answer"      // arrival of the request to its last byte
 	MetricBatchItem  = "batch_item"         // start of a batch item to its result
-	MetricYield      = "batch_yield"        // decision to stop an attempt to the engine's word that it has
+	MetricYield      = "batch_yield"        // request to cancel an attempt to the engine's confirmation
 )
 
-// Names of the counters beside the reasons of package route.
+// Names of counters, in addition to the reasons of package route.
 const (
 	CountOnlineOffered = "online_offered"
 	CountOnlineDone    = "online_done"
@@ -57,48 +56,47 @@
 	CountBatchDone     = "batch_done"
 )
 
-// Options configure a Router. Self and Place are needed, the rest has defaults.
+// Options configures a Router. Self and Place are required.
 type Options struct {
 	Self  string // the gate's ID
 	Place string // the gate's place
-	Seed  uint64 // of the random picks
+	Seed  uint64 // for random choices of replicas
 
 	Route   route.Config // limits and delays of each shard; Self and Place are set by New
-	Policy  route.Policy // for BatchRoom and for items without their own
+	Policy  route.Policy // the default for batch items
 	Metrics Metrics
-	Log     *zap.Logger // of each decision on a request; nil: none
+	Log     *zap.Logger // logs each decision on a request; nil: none
 
-	// SendUsage tells other gates what this gate has on the replicas that they
-	// feed with batch. Without it, this gate must be the only one.
+	// SendReports sends load reports to the owner gates of the replicas that this
+	// gate uses. It is required unless this gate is the only one.
 	SendUsage SendUsage
-	// Spread tells the live gates of strikes and returns when they know or ctx
-	// has ended.
+	// BroadcastCrashes sends crash records to the live gates. It returns when they
+	// have received them or ctx has ended.
 	Spread func(ctx context.Context, service string, strikes []upstream.Strike)
 
-	// Probe finds out whether the process at an address lives; nil: by the load
-	// that engines tell on PathLoad.
+	// Probe checks whether the process at an address is alive; nil: by requesting
+	// PathLoad.
 	Probe func(ctx context.Context, address string) ProbeResult
 
-	SpreadTimeout time.Duration // the longest wait for Spread
-	TickEvery     time.Duration
-	DialTimeout   time.Duration
-	// Unanswered is how long sent bytes may go without an acknowledgement of the
-	// other VM before the connection is given up; 0: the system's default, which
-	// is many minutes.
+	BroadcastTimeout time.Duration // limits BroadcastCrashes
+	TickEvery        time.Duration
+	DialTimeout      time.Duration
+	// UnackedTimeout is how long sent bytes may remain unacknowledged by the other
+	// VM before the connection is closed; 0: the system's default of many minutes.
 	Unanswered     time.Duration
 	ProbeTimeout   time.Duration
-	MaxAnswerBytes int // the longest answer that is held for a caller
+	MaxAnswerBytes int // limits the buffered part of an answer
 	DefaultTimeout time.Duration
 }
 
 // Defaults of Options.
 const (
-	defaultSpreadTimeout  = 250 * time.Millisecond
-	defaultTickEvery      = 25 * time.Millisecond
-	defaultDialTimeout    = time.Second
-	defaultProbeTimeout   = 400 * time.Millisecond
-	defaultMaxAnswerBytes = 16 << 20
-	defaultTimeout        = 60 * time.Second
+	defaultBroadcastTimeout = 250 * time.Millisecond
+	defaultTickEvery        = 25 * time.Millisecond
+	defaultDialTimeout      = time.Second
+	defaultProbeTimeout     = 400 * time.Millisecond
+	defaultMaxAnswerBytes   = 16 << 20
+	defaultTimeout          = 60 * time.Second
 )
 
 type noMetrics struct{}
@@ -107,7 +105,7 @@
 func (noMetrics) Observe(string, time.Duration) {}
 
 func (o Options) withDefaults() Options {
-	setDefault(&o.SpreadTimeout, defaultSpreadTimeout)
+	setDefault(&o.BroadcastTimeout, defaultBroadcastTimeout)
 	setDefault(&o.TickEvery, defaultTickEvery)
 	setDefault(&o.DialTimeout, defaultDialTimeout)
 	setDefault(&o.ProbeTimeout, defaultProbeTimeout)
--- a/internal/gate/proxy/protocol.go
+++ b/internal/gate/proxy/protocol.go
@@ -10,84 +10,85 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// Protocol says how the attempts of one request speak to upstreams: it builds
-// what is sent and reads what comes back. What is sent where and when is decided
-// elsewhere. The OpenAI protocol is one implementation; an adapter brings others.
+// Protocol builds the messages of one request's attempts to upstreams and reads the
+// answers. Package route decides what is sent where and when. The OpenAI protocol
+// is one implementation; adapters supply others.
 type Protocol interface {
-	// Kind is the kind of upstream that may be asked.
+	// Kind returns the kind of upstream that may serve the request.
 	Kind() upstream.Kind
-	// Check refuses a request that no upstream may be sent.
+	// Check returns an error if the request must not be sent to any upstream.
 	Check() *apierr.Error
-	// Streams says whether the caller is given the answer event by event.
+	// Streams reports whether the caller receives the answer event by event.
 	Streams() bool
-	// Resumable says whether another upstream can go on with an answer.
+	// Resumable reports whether another upstream can continue a partial answer.
 	Resumable() bool
-	// Start is the number of the last event that the caller has already; 0 for a
-	// request from the start.
+	// LastReceived returns the number of the last event that the caller already has;
+	// 0 for a request from the start.
 	Start() int
-	// Request builds the request of one try.
+	// Request builds the HTTP request of one attempt.
 	Request(ctx context.Context, try *Try) (*http.Request, error)
-	// Judge says what the head of an answer means.
+	// InspectHead interprets the status line and headers of an answer.
 	Judge(answer *http.Response, try *Try) Verdict
-	// Events reads the answer as a stream; nil if it is to be read whole.
+	// Events returns the events of a streamed answer, or nil if the answer is to be
+	// read whole.
 	Events(answer *http.Response) EventSource
-	// EndsByClose says whether an answer that only the end of its connection
-	// delimits counts as whole.
+	// AllowsCloseDelimited reports whether an answer without a length, which ends
+	// when its connection closes, counts as complete.
 	EndsByClose() bool
-	// Assemble makes the whole answer of a stream that is not passed on event by
+	// Assemble builds the whole answer from a stream that is not forwarded event by
 	// event.
 	Assemble(p *Progress) (*Reply, error)
 }
 
 // Mover is a Protocol whose upstreams can stop a run and keep its memory, so that
-// the answer goes on as the same run over another connection or elsewhere.
+// the same run can continue over another connection or on another replica.
 type Mover interface {
-	// Move builds the call that asks replica from to stop the request's run and to
-	// copy its memory to replica to.
+	// MoveRequest builds the call that asks replica from to stop the request's run
+	// and to copy its memory to replica to.
 	Move(ctx context.Context, from, to *upstream.Announcement) (*http.Request, error)
-	// Moved reads the answer to it.
+	// ParseMoveResult reads the answer to that call.
 	Moved(answer *http.Response, from *upstream.Announcement) (Move, error)
 }
 
-// Move says what became of a run that was to be stopped.
+// MoveResult is the result of a request to stop a run.
 type Move struct {
-	Memory string // names what to go on from
-	Copied bool   // the other replica has it too
-	NoRoom bool   // the other replica has no room, and the run goes on where it was
+	Memory string // identifies the run's memory; empty: the run was not stopped
+	Copied bool   // the other replica has the memory too
+	NoRoom bool   // the other replica has no capacity; the run continues where it was
 }
 
-// Try is one attempt of a request at one upstream.
+// AttemptInfo describes one attempt of a request to the Protocol.
 type Try struct {
 	RequestID string
 	Attempt   route.AttemptID
 	Target    *upstream.Announcement
 	Deadline  time.Time
-	// After is the number of the last event that earlier attempts gave, and Text
-	// what they gave; 0 and empty to begin at the start.
+	// After is the number of the last event received by earlier attempts, and Text
+	// the text of their events; zero to begin at the start.
 	After int
 	Text  string
-	// Memory names the memory of the request's run to go on from; empty: none.
+	// Memory identifies the memory of the run to continue; empty: none.
 	Memory string
 }
 
-// Left gives the time until the deadline; never less than zero.
+// TimeLeft returns the time until the deadline; never less than zero.
 func (t *Try) Left() time.Duration { return max(0, time.Until(t.Deadline)) }
 
-// Verdict is what the head of an answer means.
+// HeadResult is the meaning of an answer's status line and headers.
 type Verdict struct {
-	// Cause says why the answer must not reach the caller; empty if it may.
+	// Cause is why the answer must not reach the caller; empty if it may.
 	Cause route.FailureCause
-	// Queued: by the upstream's word the request waited for a slot.
+	// Queued reports whether the request waited for a slot at the upstream.
 	Queued bool
 }
 
-// EventSource gives the events of a stream, the last of them with Done set. A
-// stream that ends before its last event gives an error.
+// EventSource reads the events of a stream. The last event has Done set; a stream
+// that ends before it yields an error.
 type EventSource interface {
 	Next() (*Event, error)
 }
 
-// Progress is what the attempts of a request have given so far.
+// Progress is the part of an answer received so far by a request's attempts.
 type Progress struct {
 	Head   *Reply // status and headers of the first answer that was used
 	Tokens int    // number of the last event or token
@@ -95,25 +96,26 @@
 	meta   answerMeta
 }
 
-// Reply is an answer as an upstream gave it or as it was assembled.
+// Reply is an upstream's answer or one assembled from a stream.
 type Reply struct {
 	Status int
 	Header http.Header
 	Body   []byte // empty in the head of a stream
 }
 
-// Caller is given the answer of a request, from one goroutine.
+// Caller receives the answer of a request. Its methods are called from one
+// goroutine.
 type Caller interface {
-	// Begin opens a streamed answer under the head of its first upstream.
+	// Begin starts a streamed answer with the head of the first upstream's answer.
 	Begin(head *Reply)
-	// Events passes events on; false if the caller has left.
+	// Events forwards events; it returns false if the caller has disconnected.
 	Events(data []byte) bool
-	// End closes a streamed answer that is whole.
+	// End ends a complete streamed answer.
 	End()
-	// Break ends a streamed answer that cannot be made whole.
+	// Abort ends a streamed answer that cannot be completed.
 	Break(err *apierr.Error)
-	// Whole gives an answer that is not streamed.
+	// Respond sends an answer that is not streamed.
 	Whole(answer *Reply)
-	// Refuse gives the final answer of a request that has no other.
+	// Refuse answers a request with an error.
 	Refuse(err *apierr.Error)
 }
--- a/internal/gate/proxy/proxy_test.go
+++ b/internal/gate/proxy/proxy_test.go
@@ -27,7 +27,7 @@
 
 const wait = 10 * time.Second
 
-// gate is a Router behind a small HTTP server, with fake engines.
+// gate is a Router behind an HTTP server, with fake engines.
 type gate struct {
 	router *proxy.Router
 	server *httptest.Server
@@ -101,12 +101,13 @@
 	streamBody = `{"stream":true,"messages":[{"role":"user","content":"headlines 0"}]}`
 )
 
-// varied changes the prompt, so that requests do not all prefer one replica.
+// varied changes the prompt, so that prefix affinity does not send all requests to
+// one replica.
 func varied(body string, n int) string {
 	return strings.Replace(body, "headlines 0", "headlines "+strconv.Itoa(n), 1)
 }
 
-// streamText joins the text of a stream and says whether it is whole.
+// streamText returns the text of a stream and whether the stream is complete.
 func streamText(data string) (text string, whole bool) {
 	for _, line := range strings.Split(data, "\n") {
 		content, found := strings.CutPrefix(line, "data: ")
@@ -149,28 +150,28 @@
 	})
 
 	It("resumes a broken stream on another replica at the token reached", func() {
-		// A clerk sees the answer grow, then its replica dies. The rest must come
-		// from another replica, with no token missing and none twice.
-		broken, sound := newFakeEngine("r1", 8, 0), newFakeEngine("r2", 8, 0)
+		// The replica dies in the middle of an answer. Another one must continue it
+		// with no token missing and none repeated.
+		broken, healthy := newFakeEngine("r1", 8, 0), newFakeEngine("r2", 8, 0)
 		broken.breakAt = 4
-		g := newGate(route.Config{}, broken, sound)
+		g := newGate(route.Config{}, broken, healthy)
 		for i := range 12 {
 			_, data := g.post(varied(streamBody, i))
 			text, whole := streamText(data)
 			Expect(whole).To(BeTrue())
 			Expect(text).To(Equal(words(8)))
 		}
-		Expect(sound.count(func(e *fakeEngine) int { return len(e.resumedAt) })()).To(BeNumerically(">", 0))
-		Expect(sound.resumedAt).To(HaveEach(3))
+		Expect(healthy.count(func(e *fakeEngine) int { return len(e.resumedAt) })()).To(BeNumerically(">", 0))
+		Expect(healthy.resumedAt).To(HaveEach(3))
 	})
 
-	It("replaces a connection that has gone silent", func() {
-		// The stream stops without an error: something between gate and engine
-		// has lost track of the connection. Other connections work.
-		quiet, sound := newFakeEngine("r1", 6, 0), newFakeEngine("r2", 6, 0)
-		quiet.silentAt = 3
+	It("replaces a stalled connection", func() {
+		// The stream stops without an error because a device between gate and engine
+		// has dropped the connection's state. Other connections work.
+		stalled, healthy := newFakeEngine("r1", 6, 0), newFakeEngine("r2", 6, 0)
+		stalled.silentAt = 3
 		config := route.Config{FirstTimeout: time.Second, TokenTimeout: 300 * time.Millisecond}
-		g := newGate(config, quiet, sound)
+		g := newGate(config, stalled, healthy)
 		for i := range 12 {
 			_, data := g.post(varied(streamBody, i))
 			text, whole := streamText(data)
@@ -180,10 +181,10 @@
 		Expect(g.count("retried.silent")()).To(BeNumerically(">", 0))
 	})
 
-	It("never passes on the answer to another request", func() {
-		mixed, sound := newFakeEngine("r1", 3, 0), newFakeEngine("r2", 3, 0)
+	It("never forwards the answer to another request", func() {
+		mixed, healthy := newFakeEngine("r1", 3, 0), newFakeEngine("r2", 3, 0)
 		mixed.otherID = true
-		g := newGate(route.Config{}, mixed, sound)
+		g := newGate(route.Config{}, mixed, healthy)
 		for i := range 12 {
 			status, data := g.post(varied(plainBody, i))
 			Expect(status).To(Equal(http.StatusOK))
@@ -192,27 +193,27 @@
 		Expect(g.count("retried.mismatch")()).To(BeNumerically(">", 0))
 	})
 
-	It("does not repeat a request that may have run, and says so", func() {
-		broken, sound := newFakeEngine("r1", 3, 0), newFakeEngine("r2", 3, 0)
+	It("does not repeat a non-repeatable request that may have run, and reports that", func() {
+		broken, healthy := newFakeEngine("r1", 3, 0), newFakeEngine("r2", 3, 0)
 		broken.breakAt = 2
-		sound.breakAt = 2
-		g := newGate(route.Config{}, broken, sound)
+		healthy.breakAt = 2
+		g := newGate(route.Config{}, broken, healthy)
 		status, data := g.post(plainBody, "Once")
 		Expect(status).To(Equal(http.StatusBadGateway))
 		refusal := apierr.ParseHTTP([]byte(data))
 		Expect(refusal.Reason).To(Equal(route.ReasonUpstreamFailed))
 		Expect(refusal.Ran).To(Equal(apierr.RanUnknown))
-		Expect(broken.served + sound.served).To(Equal(1))
+		Expect(broken.served + healthy.served).To(Equal(1))
 	})
 
-	It("refuses at once what no replica serves", func() {
+	It("refuses at once a request for a service without replicas", func() {
 		g := newGate(route.Config{})
 		status, data := g.post(plainBody)
 		Expect(status).To(Equal(http.StatusServiceUnavailable))
 		Expect(apierr.ParseHTTP([]byte(data)).Ran).To(Equal(apierr.RanNo))
 	})
 
-	It("stops the upstream when the caller leaves", func() {
+	It("cancels the attempt when the caller disconnects", func() {
 		e := newFakeEngine("r1", 1000, 5*time.Millisecond)
 		g := newGate(route.Config{}, e)
 		ctx, leave := context.WithCancel(context.Background())
@@ -228,15 +229,14 @@
 })
 
 var _ = Describe("batch items", func() {
-	It("give their slot up to an online burst at once and go on from their prefix", func() {
-		// An editor's request arrives while batch fills every slot. Its first
-		// token must not wait for a batch item to end, and each item that gave
-		// way must still end whole.
+	It("are preempted at once by an online request and resume from their prefix", func() {
+		// An online request arrives while batch items fill every slot. Its first token
+		// must not wait for an item to end, and each preempted item must still complete.
 		e := newFakeEngine("r1", 40, 0)
 		e.hold = make(chan struct{})
 		g := newGate(route.Config{FirstTimeout: wait}, e)
 		policy := route.ThroughputPolicy()
-		Expect(g.router.BatchRoom("wordroom", policy)).To(Equal(4))
+		Expect(g.router.BatchCapacity("wordroom", policy)).To(Equal(4))
 		results := make(chan proxy.BatchResult, 4)
 		for i := range 4 {
 			go func() {
@@ -250,7 +250,7 @@
 			}()
 		}
 		Eventually(e.count(func(e *fakeEngine) int { return e.served }), wait).Should(Equal(4))
-		Expect(g.router.BatchRoom("wordroom", policy)).To(BeZero())
+		Expect(g.router.BatchCapacity("wordroom", policy)).To(BeZero())
 		answer := make(chan string, 1)
 		go func() {
 			defer GinkgoRecover()
@@ -272,23 +272,23 @@
 	})
 
 	It("are given back unsent when the gate does not hold them any more", func() {
-		// A gate was frozen between its decision to send an item and the sending.
-		// Meanwhile its lease ran out and the item went to another gate; on waking
-		// it would send an item that is another's.
+		// Guards against two gates that run the same item: a gate is frozen between its
+		// decision to send the item and the sending, its lease expires, and the item is
+		// leased to another gate.
 		e := newFakeEngine("r1", 5, 0)
 		g := newGate(route.Config{}, e)
-		gone := apierr.New(apierr.Unavailable, "lease_out", "", "the lease is over")
+		expired := apierr.New(apierr.Unavailable, "lease_out", "", "the lease is over")
 		result, err := g.router.RunBatch(context.Background(), proxy.BatchItem{
 			ID: "item", Service: "wordroom", Body: []byte(plainBody), Repeatable: true,
-			Held: func() *apierr.Error { return gone },
+			CheckLease: func() *apierr.Error { return expired },
 		})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(result.Outcome).To(Equal(proxy.BatchNotRun))
-		Expect(result.Err).To(Equal(gone))
+		Expect(result.Err).To(Equal(expired))
 		Expect(e.count(func(e *fakeEngine) int { return e.served })()).To(BeZero())
 	})
 
-	It("are given back when the gate drains", func() {
+	It("are returned when the gate drains", func() {
 		e := newFakeEngine("r1", 1000, 5*time.Millisecond)
 		g := newGate(route.Config{}, e)
 		done := make(chan proxy.BatchResult, 1)
--- a/internal/gate/proxy/router.go
+++ b/internal/gate/proxy/router.go
@@ -14,42 +14,42 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// Router routes the requests of all services that a gate knows.
+// Router routes the requests of all services known to a gate.
 type Router struct {
-	options Options
-	links   *links
-	usage   *usageSender
-	stop    context.CancelFunc
-	stopped chan struct{}
+	options    Options
+	transports *transports
+	reports    *reportSender
+	stop       context.CancelFunc
+	stopped    chan struct{}
 
-	mu       sync.RWMutex // guards what follows; taken before a shard's lock
+	mu       sync.RWMutex // guards the fields below; acquired before a shard's lock
 	shards   map[string]*shard
 	gates    route.GatesChanged
 	draining bool
 }
 
-// New makes a Router and starts its clock. Close stops it.
+// New creates a Router and starts its ticker, which Close stops.
 func New(options Options) *Router {
 	ctx, stop := context.WithCancel(context.Background())
 	options = options.withDefaults()
 	r := &Router{
-		options: options,
-		links:   newLinks(options),
-		stop:    stop,
-		stopped: make(chan struct{}),
-		shards:  make(map[string]*shard),
+		options:    options,
+		transports: newTransports(options),
+		stop:       stop,
+		stopped:    make(chan struct{}),
+		shards:     make(map[string]*shard),
 	}
-	r.usage = newUsageSender(options.SendUsage, r.fed)
+	r.reports = newReportSender(options.SendUsage, r.applyAcknowledgement)
 	go r.tick(ctx)
 	return r
 }
 
-// Close stops the clock and drops idle connections. Requests in progress are
-// not ended: Drain first.
+// Close stops the ticker and closes idle connections. It does not wait for
+// requests in progress; call Drain first.
 func (r *Router) Close() {
 	r.stop()
 	<-r.stopped
-	r.links.close()
+	r.transports.close()
 }
 
 func (r *Router) tick(ctx context.Context) {
@@ -61,19 +61,19 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			r.each(route.Tick{})
+			r.stepAll(route.Tick{})
 		}
 	}
 }
 
-// each gives an input to all shards.
-func (r *Router) each(in route.Input) {
-	for _, s := range r.all() {
+// stepAll applies an input to all shards.
+func (r *Router) stepAll(in route.Input) {
+	for _, s := range r.sortedShards() {
 		s.step(in)
 	}
 }
 
-func (r *Router) all() []*shard {
+func (r *Router) sortedShards() []*shard {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	names := slices.Sorted(maps.Keys(r.shards))
@@ -84,16 +84,16 @@
 	return list
 }
 
-// find gives the shard of a service; nil when no upstream ever announced it.
-func (r *Router) find(service string) *shard {
+// findShard returns the shard of a service, or nil if no upstream has ever announced it.
+func (r *Router) findShard(service string) *shard {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.shards[service]
 }
 
-// shardOf gives the shard of a service and makes it if there is none.
-func (r *Router) shardOf(service string) *shard {
-	if s := r.find(service); s != nil {
+// findOrAddShard returns the shard of a service and creates it if there is none.
+func (r *Router) findOrAddShard(service string) *shard {
+	if s := r.findShard(service); s != nil {
 		return s
 	}
 	r.mu.Lock()
@@ -111,80 +111,80 @@
 	return s
 }
 
-// Announce takes in an announcement; its error is an *apierr.Error that names
-// the field at fault.
+// Announce applies a replica's announcement. Its error is an *apierr.Error that
+// names the invalid field.
 func (r *Router) Announce(a upstream.Announcement) error {
 	if err := a.Validate(); err != nil {
 		return err
 	}
-	r.shardOf(a.Service).step(route.Announced{Announcement: a})
+	r.findOrAddShard(a.Service).step(route.Announced{Announcement: a})
 	return nil
 }
 
-// Withdraw takes in that a replica is no more, up to an incarnation.
+// Withdraw removes a replica, up to and including an incarnation.
 func (r *Router) Withdraw(service string, id upstream.ReplicaID, incarnation uint64) {
-	if s := r.find(service); s != nil {
+	if s := r.findShard(service); s != nil {
 		s.step(route.Withdrawn{Replica: id, Incarnation: incarnation})
 	}
 }
 
-// Knows says whether any replica of the service takes requests.
-func (r *Router) Knows(service string) bool {
-	s := r.find(service)
+// Available reports whether any replica of the service accepts requests.
+func (r *Router) Available(service string) bool {
+	s := r.findShard(service)
 	if s == nil {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.decide.Usable()
+	return s.routing.Usable()
 }
 
-// CacheEvent takes in a cache event of a replica of the service.
+// CacheEvent applies a cache event of a replica of the service.
 func (r *Router) CacheEvent(service string, e upstream.CacheEvent) {
-	if s := r.find(service); s != nil {
+	if s := r.findShard(service); s != nil {
 		s.step(route.Cached{Event: e})
 	}
 }
 
-// SetGates tells which gates live, this one included; it decides which of them
-// feeds a replica with batch. Expected is how many there are, if some may not be
-// back after a stop of all; else 0.
+// SetGates sets the live gates, this one included, from which each replica's owner
+// gate is chosen. Expected is the number of gates of the site if some of them may
+// not have returned after a full restart, else 0.
 func (r *Router) SetGates(gates []route.Gate, expected int) {
 	changed := route.GatesChanged{Gates: slices.Clone(gates), Expected: expected}
 	r.mu.Lock()
 	r.gates = changed
 	r.mu.Unlock()
-	r.each(changed)
+	r.stepAll(changed)
 }
 
-// Fed takes in how much batch another gate runs on a replica.
+// ApplyOwnerLoad applies the batch load that a replica's owner gate reports.
 func (r *Router) Fed(service string, feeding upstream.Feeding) {
-	if s := r.find(service); s != nil {
+	if s := r.findShard(service); s != nil {
 		s.step(route.Fed{Feeding: feeding})
 	}
 }
 
-// fed takes in another gate's answer to a usage that this gate has sent.
-func (r *Router) fed(said Usage, feeding upstream.Feeding) {
-	if s := r.find(said.Service); s != nil {
-		s.step(route.Fed{Feeding: feeding, Answers: said.Word, Told: said.Online})
+// applyAcknowledgement applies an owner gate's acknowledgement of a load report.
+func (r *Router) applyAcknowledgement(report Usage, acknowledged upstream.Feeding) {
+	if s := r.findShard(report.Service); s != nil {
+		s.step(route.Fed{Feeding: acknowledged, Answers: report.Number, Told: report.Online})
 	}
 }
 
-// Strike takes in strikes that another gate spreads.
+// RecordCrashes applies crash records that another gate has broadcast.
 func (r *Router) Strike(service string, strikes []upstream.Strike) {
-	r.shardOf(service).step(route.Struck{Strikes: strikes})
+	r.findOrAddShard(service).step(route.Struck{Strikes: strikes})
 }
 
-// Cursor remembers which changes of each service a peer has been sent.
+// Cursor holds the version of each service up to which a peer has received changes.
 type Cursor map[string]uint64
 
-// Digest gives what changed since the cursor, one digest for each service that
-// changed, and the cursor for the next call. A nil cursor gives everything.
+// Digest returns what has changed since the cursor, as one digest for each changed
+// service, and the cursor for the next call. A nil cursor returns everything.
 func (r *Router) Digest(since Cursor) ([]upstream.Digest, Cursor) {
 	next := make(Cursor)
 	var digests []upstream.Digest
-	for _, s := range r.all() {
+	for _, s := range r.sortedShards() {
 		d, version := s.changes(since[s.service])
 		next[s.service] = version
 		if len(d.Identity)+len(d.Loads)+len(d.Strikes)+len(d.Feeding) > 0 {
@@ -194,79 +194,80 @@
 	return digests, next
 }
 
-// Merge takes in digests of another gate. Doubled and reordered ones are
-// harmless.
+// Merge applies digests of another gate. It is idempotent, and the order of the
+// digests does not matter.
 func (r *Router) Merge(digests []upstream.Digest) {
 	for _, d := range digests {
-		r.shardOf(d.Service).merge(d)
+		r.findOrAddShard(d.Service).merge(d)
 	}
 }
 
-// Replica is one row of Upstreams.
+// Replica is what this gate knows of a replica, as listed by Upstreams.
 type Replica struct {
 	upstream.Announcement
-	Seen    time.Time `json:"seen"`
-	Suspect bool      `json:"suspect"` // out of use until a probe is answered
-	Online  int       `json:"online"`  // this gate's online requests on it
-	Batch   int       `json:"batch"`   // this gate's batch items on it
-	Feeder  string    `json:"feeder"`  // the gate that feeds it with batch
+	Seen      time.Time `json:"seen"`
+	Suspect   bool      `json:"suspect"` // not used until it answers a probe
+	Online    int       `json:"online"`  // this gate's online requests on it
+	Batch     int       `json:"batch"`   // this gate's batch items on it
+	OwnerGate string    `json:"feeder"`  // the gate that owns its free slots
 }
 
-// Upstreams lists what this gate knows of all replicas, by service and ID.
+// Upstreams lists all known replicas, ordered by service and ID.
 func (r *Router) Upstreams() []Replica {
 	var list []Replica
-	for _, s := range r.all() {
+	for _, s := range r.sortedShards() {
 		list = append(list, s.upstreams()...)
 	}
 	return list
 }
 
-// BatchRoom gives the number of batch items of the service that could start
-// now under the policy.
-func (r *Router) BatchRoom(service string, policy route.Policy) int {
-	s := r.find(service)
+// BatchCapacity returns the number of batch items of the service that could
+// start now under the policy.
+func (r *Router) BatchCapacity(service string, policy route.Policy) int {
+	s := r.findShard(service)
 	if s == nil {
 		return 0
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.decide.BatchRoom(policy)
+	return s.routing.BatchRoom(policy)
 }
 
-// BatchTarget gives the number of batch items of the service that this gate
-// should hold: those that run, those that could start, and a few that wait for
-// the next free slots.
+// BatchTarget returns the number of batch items of the service that this gate
+// should hold: those that run, those that could start now, and a few to fill the
+// next free slots.
 func (r *Router) BatchTarget(service string, policy route.Policy) int {
-	s := r.find(service)
+	s := r.findShard(service)
 	if s == nil {
 		return 0
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.decide.BatchTarget(policy)
+	return s.routing.BatchTarget(policy)
 }
 
-// Stepped gives a channel that gets a value after decisions on the service, which
-// may have changed its BatchTarget; nil for an unknown service. One reader at a
-// time may use it.
-func (r *Router) Stepped(service string) <-chan struct{} {
-	s := r.find(service)
+// Updates returns a channel that receives a value after decisions on the service,
+// which may have changed its BatchTarget, or nil for an unknown service. It has one
+// reader at a time.
+func (r *Router) Updates(service string) <-chan struct{} {
+	s := r.findShard(service)
 	if s == nil {
 		return nil
 	}
-	return s.stepped
+	return s.updates
 }
 
-// DrainBatch stops batch work: items are given back.
+// DrainBatch stops batch work; its items are returned unfinished.
 func (r *Router) DrainBatch() {
 	r.mu.Lock()
 	r.draining = true
 	r.mu.Unlock()
-	r.each(route.Draining{})
+	r.stepAll(route.Draining{})
 }
 
 // Drain stops batch work and waits until no request is in progress or ctx ends.
-// Online requests are still served: callers may hold this gate's address.
+// Online requests are still served, since callers may have cached this gate's
+// address.
 func (r *Router) Drain(ctx context.Context) error {
 	r.DrainBatch()
 	ticker := time.NewTicker(r.options.TickEvery)
@@ -281,10 +282,10 @@
 	return nil
 }
 
-// InFlight counts the requests in progress, batch items included.
+// InFlight returns the number of requests in progress, batch items included.
 func (r *Router) InFlight() int {
 	count := 0
-	for _, s := range r.all() {
+	for _, s := range r.sortedShards() {
 		s.mu.Lock()
 		count += len(s.flights)
 		s.mu.Unlock()
--- a/internal/gate/proxy/shard.go
+++ b/internal/gate/proxy/shard.go
@@ -13,90 +13,91 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// shard drives the decisions of one service. Its lock is held only while they
-// are made: what may block runs in goroutines.
+// shard runs the routing state machine of one service and executes its outputs.
+// Its lock is held only while decisions are made; anything that may block runs
+// in a goroutine.
 type shard struct {
 	router  *Router
 	service string
 
-	mu      sync.Mutex
-	decide  *route.Shard
-	flights map[string]*flight           // requests in progress by ID
-	runs    map[route.AttemptID]*attempt // attempts in progress
+	mu       sync.Mutex
+	routing  *route.Shard
+	flights  map[string]*flight           // requests in progress, by ID
+	attempts map[route.AttemptID]*attempt // attempts in progress
 
-	stepped chan struct{} // gets a value after decisions, unless one waits there
+	updates chan struct{} // receives a value after each step; holds one at most
 }
 
-func newShard(r *Router, service string, decide *route.Shard) *shard {
+func newShard(r *Router, service string, routing *route.Shard) *shard {
 	return &shard{
-		router:  r,
-		service: service,
-		decide:  decide,
-		flights: make(map[string]*flight),
-		runs:    make(map[route.AttemptID]*attempt),
-		stepped: make(chan struct{}, 1),
+		router:   r,
+		service:  service,
+		routing:  routing,
+		flights:  make(map[string]*flight),
+		attempts: make(map[route.AttemptID]*attempt),
+		updates:  make(chan struct{}, 1),
 	}
 }
 
-// step gives an input to the decisions and does what they say.
+// step applies an input to the routing state machine and executes its outputs.
 func (s *shard) step(in route.Input) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.execute(s.decide.Step(time.Now(), in))
+	s.execute(s.routing.Step(time.Now(), in))
 }
 
-// signalStep tells the reader of stepped, if it has read the last value.
-func (s *shard) signalStep() {
+// notifyUpdate sends a value to updates unless one is still unread.
+func (s *shard) notifyUpdate() {
 	select {
-	case s.stepped <- struct{}{}:
+	case s.updates <- struct{}{}:
 	default:
 	}
 }
 
-// open registers a flight and offers its request. A request whose ID is in
-// progress already is refused without touching the first one.
-func (s *shard) open(f *flight) {
+// add registers a flight and submits its request. A request whose ID is already
+// in progress is refused; the first one is not affected.
+func (s *shard) add(f *flight) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.flights[f.request.ID] != nil {
-		f.end(apierr.New(apierr.Conflict, route.ReasonDuplicateID,
+		f.finish(apierr.New(apierr.Conflict, route.ReasonDuplicateID,
 			"send each request under an ID of its own", "request %s is in progress", f.request.ID))
 		return
 	}
 	s.flights[f.request.ID] = f
-	s.execute(s.decide.Step(time.Now(), route.Arrive{Request: f.request}))
+	s.execute(s.routing.Step(time.Now(), route.Arrive{Request: f.request}))
 }
 
-// close takes a flight out; its attempts are stopped if any are left.
-func (s *shard) close(f *flight) {
+// remove unregisters a flight and stops the attempts that are still running.
+func (s *shard) remove(f *flight) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.flights[f.request.ID] != f {
 		return
 	}
-	s.execute(s.decide.Step(time.Now(), route.Abandon{ID: f.request.ID}))
+	s.execute(s.routing.Step(time.Now(), route.Abandon{ID: f.request.ID}))
 	delete(s.flights, f.request.ID)
 }
 
-// complete reports a whole answer. It returns false if the attempt was stopped
-// meanwhile: its answer must not be used.
+// complete reports that an attempt has received its whole answer. It returns
+// false if the attempt was stopped meanwhile; its answer must not be used then.
 func (s *shard) complete(a *attempt) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if a.stopped.Load() {
 		return false
 	}
-	delete(s.runs, a.id)
-	s.execute(s.decide.Step(time.Now(), route.Finished{Attempt: a.id}))
+	delete(s.attempts, a.id)
+	s.execute(s.routing.Step(time.Now(), route.Finished{Attempt: a.id}))
 	return true
 }
 
-// execute does the outputs in order. Those after a Spread wait until the other
-// gates know of the strikes, so that neither the next attempt nor the caller's
-// next request is ahead of the news.
+// execute runs the outputs in order. Outputs after a Spread wait until the other
+// gates have the crash records, so that neither the next attempt nor the caller's
+// next request overtakes them.
 func (s *shard) execute(outputs []route.Output) {
-	defer s.signalStep()
-	ready := alreadyDone
+	defer s.notifyUpdate()
+	ready := closedChannel
 	for _, o := range outputs {
 		switch o := o.(type) {
 		case route.Dispatch:
@@ -106,37 +107,37 @@
 		case route.Cancel:
 			s.cancel(o)
 		case route.Believed:
-			s.logBelief(&o)
+			s.logHealth(&o)
 		case route.Refuse:
 			s.refuse(o, ready)
 		case route.Probe:
 			go s.probe(o)
 		case route.Reset:
-			s.router.links.reset(o.Replica)
+			s.router.transports.reset(o.Replica)
 		case route.YieldTo:
-			s.router.usage.put(o.Gate, Usage{
-				Service: s.service, Gate: s.router.options.Self, Replica: o.Replica, Online: o.Online, Batch: o.Batch, Word: o.Word,
+			s.router.reports.enqueue(o.Gate, Usage{
+				Service: s.service, Gate: s.router.options.Self, Replica: o.Replica, Online: o.Online, Batch: o.Batch, Number: o.Word,
 			})
 		case route.Spread:
-			ready = s.spread(o.Strikes)
+			ready = s.broadcastCrashes(o.Strikes)
 		case route.Count:
 			s.router.options.Metrics.Count(counterName(o.Reason))
 		}
 	}
 }
 
-// alreadyDone is a closed channel: nothing to wait for.
-var alreadyDone = func() chan struct{} {
+// closedChannel stands for a broadcast that need not be awaited.
+var closedChannel = func() chan struct{} {
 	done := make(chan struct{})
 	close(done)
 	return done
 }()
 
-func (s *shard) spread(strikes []upstream.Strike) chan struct{} {
+func (s *shard) broadcastCrashes(strikes []upstream.Strike) chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		ctx, cancel := context.WithTimeout(context.Background(), s.router.options.SpreadTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), s.router.options.BroadcastTimeout)
 		defer cancel()
 		s.router.options.Spread(ctx, s.service, strikes)
 	}()
@@ -149,7 +150,7 @@
 		return
 	}
 	a := f.newAttempt(o)
-	s.runs[o.Attempt] = a
+	s.attempts[o.Attempt] = a
 	s.logDispatch(&o)
 	go func() {
 		defer f.attempts.Done()
@@ -159,21 +160,21 @@
 }
 
 func (s *shard) cancel(o route.Cancel) {
-	a := s.runs[o.Attempt]
+	a := s.attempts[o.Attempt]
 	if a == nil {
 		return
 	}
-	delete(s.runs, o.Attempt)
+	delete(s.attempts, o.Attempt)
 	s.log().Info("attempt stopped", telemetry.RequestID(o.ID), zap.Uint64("attempt", uint64(o.Attempt)),
-		telemetry.Upstream(string(a.target.Replica)), telemetry.Reason(string(o.Cause)), zap.Duration("after", time.Since(a.began)), zap.String("for", o.For))
-	a.halt(o.Cause)
+		telemetry.Upstream(string(a.target.Replica)), telemetry.Reason(string(o.Cause)), zap.Duration("after", time.Since(a.startedAt)), zap.String("for", o.For))
+	a.stop(o.Cause)
 }
 
 func (s *shard) log() *zap.Logger { return s.router.options.Log }
 
-// logDispatch tells where a request goes and what was believed of the replica.
+// logDispatch logs where a request is sent and the load that the gate assumes there.
 func (s *shard) logDispatch(o *route.Dispatch) {
-	view := s.decide.Load(o.Target.Replica)
+	view := s.routing.Load(o.Target.Replica)
 	s.log().Info("attempt", telemetry.RequestID(o.ID), zap.Uint64("attempt", uint64(o.Attempt)), zap.String("kind", string(o.Kind)),
 		telemetry.Upstream(string(o.Target.Replica)), zap.String("address", o.Target.Address), zap.Bool("resume", o.Resume),
 		zap.Int("slots", view.Slots), zap.Int("online", view.Online), zap.Int("batch", view.Batch),
@@ -181,9 +182,9 @@
 		zap.Int("waiting", view.Waiting), zap.Duration("queued", o.Queued), zap.Int("behind", o.Behind), zap.Int("places", o.Places))
 }
 
-// logBelief tells what is believed of a replica from now on, and from what.
-func (s *shard) logBelief(o *route.Believed) {
-	s.log().Info("replica believed", telemetry.Upstream(string(o.Replica)), zap.String("service", s.service),
+// logHealth logs a change of a replica's health state and the evidence for it.
+func (s *shard) logHealth(o *route.Believed) {
+	s.log().Info("replica health changed", telemetry.Upstream(string(o.Replica)), zap.String("service", s.service),
 		zap.String("belief", string(o.Belief)), zap.String("evidence", string(o.Evidence)), zap.Int("failures", o.Failures),
 		zap.Int("attempts", o.Attempts), zap.Duration("quiet", o.Quiet), zap.Bool("slowly", o.Slowly))
 }
@@ -196,18 +197,18 @@
 	s.log().Info("request refused", telemetry.RequestID(o.ID), telemetry.Reason(string(o.Err.Reason)), zap.String("service", s.service),
 		zap.String("ran", string(o.Err.Ran)), zap.Duration("after", time.Since(f.started)),
 		zap.Duration("retry_after", o.Err.RetryAfter), zap.String("message", o.Err.Message))
-	if ready == alreadyDone {
-		f.end(o.Err)
+	if ready == closedChannel {
+		f.finish(o.Err)
 		return
 	}
 	go func() {
 		<-ready
-		f.end(o.Err)
+		f.finish(o.Err)
 	}()
 }
 
 func (s *shard) probe(o route.Probe) {
-	result := s.router.links.probe(o.Address)
+	result := s.router.transports.probe(o.Address)
 	s.step(route.Probed{
 		Replica:     o.Replica,
 		Alive:       result.Alive,
@@ -219,7 +220,7 @@
 func (s *shard) changes(since uint64) (upstream.Digest, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d, version := s.decide.Changes(since)
+	d, version := s.routing.Changes(since)
 	d.Service = s.service
 	return d, version
 }
@@ -243,14 +244,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []Replica
-	for _, v := range s.decide.Replicas() {
+	for _, v := range s.routing.Replicas() {
 		list = append(list, Replica{
 			Announcement: v.Entry.Announcement,
 			Seen:         v.Entry.Seen,
 			Suspect:      v.Suspect,
 			Online:       v.Online,
 			Batch:        v.Batch,
-			Feeder:       v.Feeder,
+			OwnerGate:    v.Feeder,
 		})
 	}
 	return list
--- a/internal/gate/proxy/stream_test.go
+++ b/internal/gate/proxy/stream_test.go
@@ -15,9 +15,9 @@
 	"slateway.example/slateway/standin/engine"
 )
 
-// BenchmarkStreams measures what a token costs a gate at several numbers of
-// streams at once: processor time of the process, which here holds the engine
-// and the caller as well, and the same without the gate.
+// BenchmarkStreams measures the processor time per token at several numbers of
+// concurrent streams. The process includes the engine and the caller, so that the
+// cost of the gate is the difference to the run without it (direct).
 func BenchmarkStreams(b *testing.B) {
 	for _, streams := range []int{1, 32, 256} {
 		for _, direct := range []bool{true, false} {
@@ -85,7 +85,7 @@
 	}
 }
 
-// processorTime gives the processor time that this process has used.
+// processorTime returns the processor time used by this process.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
--- a/internal/gate/proxy/usage.go
+++ b/internal/gate/proxy/usage.go
@@ -9,70 +9,70 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// Usage tells the gate that feeds a replica with batch how many requests
-// another gate has there.
+// LoadReport tells the owner gate of a replica how many requests another gate runs
+// on it.
 type Usage struct {
 	Service string             `json:"service"`
-	Gate    string             `json:"gate"` // the one that has the requests
+	Gate    string             `json:"gate"` // the reporting gate
 	Replica upstream.ReplicaID `json:"replica"`
 	Online  int                `json:"online"`
 	Batch   int                `json:"batch"`
-	// Word numbers what this gate has said of the replica; it stays here.
-	Word uint64 `json:"-"`
+	// Number numbers this gate's reports on the replica. It is not sent.
+	Number uint64 `json:"-"`
 }
 
-// Yield takes in another gate's words on replicas that this gate feeds. Batch
-// that stands in the way is stopped before it returns; the answer is the batch
-// that is left on each replica, in the order of the usages.
-func (r *Router) Yield(usages []Usage) []upstream.Feeding {
-	fed := make([]upstream.Feeding, 0, len(usages))
-	for _, u := range usages {
-		fed = append(fed, r.yield(u))
+// ApplyLoadReports applies another gate's load reports on replicas that this gate
+// owns. It preempts batch items whose slots are needed before it returns. Its result
+// acknowledges the reports, in their order, with the load left on each replica.
+func (r *Router) Yield(reports []Usage) []upstream.Feeding {
+	acknowledged := make([]upstream.Feeding, 0, len(reports))
+	for _, u := range reports {
+		acknowledged = append(acknowledged, r.applyLoadReport(u))
 	}
-	return fed
+	return acknowledged
 }
 
-func (r *Router) yield(u Usage) upstream.Feeding {
-	s := r.find(u.Service)
+func (r *Router) applyLoadReport(u Usage) upstream.Feeding {
+	s := r.findShard(u.Service)
 	if s == nil {
 		return upstream.Feeding{Replica: u.Replica}
 	}
 	s.step(route.YieldAsked{Gate: u.Gate, Replica: u.Replica, Online: u.Online, Batch: u.Batch})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.decide.FedNow(u.Replica)
+	return s.routing.FedNow(u.Replica)
 }
 
-// SendUsage carries usages to another gate's Router.Yield and returns its
-// answer.
-type SendUsage func(ctx context.Context, gate string, usages []Usage) ([]upstream.Feeding, error)
+// SendReports sends load reports to another gate's Router.ApplyLoadReports and
+// returns its acknowledgements.
+type SendUsage func(ctx context.Context, gate string, reports []Usage) ([]upstream.Feeding, error)
 
-// usageTimeout bounds one message. A lost one is made good by the next change
-// or by the refresh of the decisions.
-const usageTimeout = time.Second
+// reportTimeout limits the sending of one message. After a loss, the next change or the
+// periodic refresh of package route sends the load again.
+const reportTimeout = time.Second
 
-// usageSender sends usages to other gates, one message at a time to each. What
-// changes while a message is under way goes into the next one, so that a busy
+// reportSender sends load reports to other gates, with one message in progress to
+// each. Reports that arrive meanwhile are sent in the next message, so that a busy
 // gate sends no more messages than the other gate answers.
-type usageSender struct {
-	send SendUsage
-	took func(said Usage, fed upstream.Feeding) // the other gate's answer
+type reportSender struct {
+	send        SendUsage
+	acknowledge func(report Usage, acknowledged upstream.Feeding) // applies the owner gate's answer
 
 	mu    sync.Mutex
-	gates map[string]*usageQueue
+	gates map[string]*reportQueue
 }
 
-type usageQueue struct {
-	waiting []Usage // the latest of each replica
+type reportQueue struct {
+	pending []Usage // the latest report on each replica
 	sending bool
 }
 
-func newUsageSender(send SendUsage, took func(Usage, upstream.Feeding)) *usageSender {
-	return &usageSender{send: send, took: took, gates: make(map[string]*usageQueue)}
+func newReportSender(send SendUsage, acknowledge func(Usage, upstream.Feeding)) *reportSender {
+	return &reportSender{send: send, acknowledge: acknowledge, gates: make(map[string]*reportQueue)}
 }
 
-// put queues a usage; it does not block.
-func (s *usageSender) put(gate string, u Usage) {
+// enqueue queues a report without blocking.
+func (s *reportSender) enqueue(gate string, u Usage) {
 	if s.send == nil {
 		return
 	}
@@ -80,48 +80,48 @@
 	defer s.mu.Unlock()
 	q := s.gates[gate]
 	if q == nil {
-		q = &usageQueue{}
+		q = &reportQueue{}
 		s.gates[gate] = q
 	}
-	q.put(u)
+	q.enqueue(u)
 	if !q.sending {
 		q.sending = true
 		go s.run(gate, q)
 	}
 }
 
-func (q *usageQueue) put(u Usage) {
-	for i := range q.waiting {
-		if q.waiting[i].Service == u.Service && q.waiting[i].Replica == u.Replica {
-			q.waiting[i] = u
+func (q *reportQueue) enqueue(u Usage) {
+	for i := range q.pending {
+		if q.pending[i].Service == u.Service && q.pending[i].Replica == u.Replica {
+			q.pending[i] = u
 			return
 		}
 	}
-	q.waiting = append(q.waiting, u)
+	q.pending = append(q.pending, u)
 }
 
-func (s *usageSender) run(gate string, q *usageQueue) {
+func (s *reportSender) run(gate string, q *reportQueue) {
 	for {
 		s.mu.Lock()
-		usages := q.waiting
-		q.waiting = nil
-		q.sending = len(usages) > 0
+		reports := q.pending
+		q.pending = nil
+		q.sending = len(reports) > 0
 		s.mu.Unlock()
-		if len(usages) == 0 {
+		if len(reports) == 0 {
 			return
 		}
-		s.deliver(gate, usages)
+		s.deliver(gate, reports)
 	}
 }
 
-func (s *usageSender) deliver(gate string, usages []Usage) {
-	ctx, cancel := context.WithTimeout(context.Background(), usageTimeout)
+func (s *reportSender) deliver(gate string, reports []Usage) {
+	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	fed, err := s.send(ctx, gate, usages)
-	if err != nil || len(fed) != len(usages) {
-		return // the next change or refresh says it again
+	acknowledged, err := s.send(ctx, gate, reports)
+	if err != nil || len(acknowledged) != len(reports) {
+		return // the next change or refresh sends the load again
 	}
-	for i, u := range usages {
-		s.took(u, fed[i])
+	for i, u := range reports {
+		s.acknowledge(u, acknowledged[i])
 	}
 }
--- a/internal/gate/routed.go
+++ b/internal/gate/routed.go
@@ -40,12 +40,12 @@
 	credit   Credit
 	metrics  Metrics
 	log      *zap.Logger
-	patience *patience
+	timeouts *waitEstimator
 }
 
 // NewRouted makes a Routed.
 func NewRouted(source RouteSource, router *proxy.Router, credit Credit, metrics Metrics, log *zap.Logger) *Routed {
-	return &Routed{source: source, router: router, credit: credit, metrics: metrics, log: log, patience: newPatience()}
+	return &Routed{source: source, router: router, credit: credit, metrics: metrics, log: log, timeouts: newWaitEstimator()}
 }
 
 // Found is the route of a request with the document that has it.
@@ -54,8 +54,8 @@
 	Matcher *routes.Matcher
 }
 
-// moves says whether the service's engines can stop a run and go on with it.
-func (f Found) moves(service string) bool {
+// canMove says whether the service's engines can stop a run and go on with it.
+func (f Found) canMove(service string) bool {
 	for _, s := range f.Matcher.Document().Services {
 		if s.Name == service {
 			return s.Engine != nil && s.Engine.Moves
@@ -70,7 +70,7 @@
 // while, cannot know that there is none: it says that it cannot serve the
 // request, so that the caller asks another gate.
 func (f *Routed) Lookup(ctx context.Context, requestID, host, path string) (Found, *apierr.Error) {
-	matcher := f.firstRoutes(ctx)
+	matcher := f.awaitRoutes(ctx)
 	if found := matcher.Match(host, path); found != nil {
 		return Found{Route: found, Matcher: matcher}, nil
 	}
@@ -78,7 +78,7 @@
 	switch {
 	case matcher.Version() == 0:
 		refusal = apierr.New(apierr.Unavailable, ReasonNoConfig, "use another gate or come back",
-			"this gate has no routes yet").WithRetryAfter(firstRoutesRetry)
+			"this gate has no routes yet").WithRetryAfter(firstRoutesRetryAfter)
 	case f.source.Stale():
 		refusal = apierr.New(apierr.Unavailable, ReasonNoRouteStale, "use another gate or come back",
 			"no route of version %d fits, and this gate may not have the newest", matcher.Version()).WithRetryAfter(configRetryInterval)
@@ -97,16 +97,16 @@
 	// for the first routes. Callers hold its address from before and come at once;
 	// the routes come within an election and a call.
 	firstRoutesWait = time.Second
-	// firstRoutesRetry is when to come back if that was not enough.
-	firstRoutesRetry = 300 * time.Millisecond
+	// firstRoutesRetryAfter is when to come back if that was not enough.
+	firstRoutesRetryAfter = 300 * time.Millisecond
 )
 
-// firstRoutes gives the routes; it waits for the first ones.
+// awaitRoutes gives the routes; it waits for the first ones.
 //
 // Failure guarded against: all processes of a site were stopped and are back at
 // their addresses. Refused, the callers would come back together after their
 // answers are worth little, though routes and replicas are known a moment later.
-func (f *Routed) firstRoutes(ctx context.Context) *routes.Matcher {
+func (f *Routed) awaitRoutes(ctx context.Context) *routes.Matcher {
 	if matcher := f.source.Routes(); matcher.Version() > 0 {
 		return matcher
 	}
@@ -152,14 +152,14 @@
 	if r.Patience > 0 {
 		longest = min(longest, r.Patience)
 	}
-	waited := f.patience.waited(found.Name, r.Patience, found.Timeout)
-	taken := creditFor(found, r, longest, waited)
+	waited := f.timeouts.timeWaited(found.Name, r.Patience, found.Timeout)
+	taken := newCreditRequest(found, r, longest, waited)
 	if refusal := f.credit.Take(ctx, taken); refusal != nil {
 		caller.Refuse(refusal)
 		return
 	}
-	caller = &creditedCaller{Caller: caller, credit: f.credit, taken: taken}
-	service := found.Pick(rand.Float64(), f.router.Knows)
+	caller = &creditedCaller{Caller: caller, credit: f.credit, request: taken}
+	service := found.Pick(rand.Float64(), f.router.Available)
 	f.log.Info("request routed", telemetry.RequestID(r.ID), telemetry.Team(r.Team.Name), zap.String("route", found.Name), zap.String("service", service),
 		zap.Uint64("routes", found.Matcher.Version()), zap.Duration("routes_age", f.source.Age()), zap.Duration("limit", longest),
 		zap.Duration("patience", r.Patience), zap.Duration("waited", waited),
@@ -173,7 +173,7 @@
 		Priority:    priorityOf(found, &r.Team),
 		Repeatable:  found.Repeatable(),
 		Resumable:   found.Kind == routes.Streaming && found.Resumable,
-		Movable:     found.Kind == routes.Streaming && found.moves(service),
+		Movable:     found.Kind == routes.Streaming && found.canMove(service),
 		MaxAttempts: found.MaxAttempts,
 		UsefulUntil: usefulUntil(found, r, waited),
 	})
--- a/internal/gate/routed_test.go
+++ b/internal/gate/routed_test.go
@@ -16,9 +16,9 @@
 
 // source gives routes once they have come.
 type source struct {
-	matcher atomic.Pointer[routes.Matcher]
-	came    chan struct{}
-	stale   bool
+	matcher   atomic.Pointer[routes.Matcher]
+	published chan struct{}
+	stale     bool
 	// unconfirmed is the answer to the question whether the routes are the newest.
 	unconfirmed error
 	// confirming is called with the question, before its answer.
@@ -26,7 +26,7 @@
 }
 
 func newSource() *source {
-	s := &source{came: make(chan struct{})}
+	s := &source{published: make(chan struct{})}
 	s.matcher.Store(routes.NewMatcher(&routes.Document{}))
 	return s
 }
@@ -43,20 +43,20 @@
 
 func (s *source) Await(ctx context.Context) {
 	select {
-	case <-s.came:
+	case <-s.published:
 	case <-ctx.Done():
 	}
 }
 
-func (s *source) come() {
+func (s *source) publishRoutes() {
 	s.matcher.Store(routes.NewMatcher(&routes.Document{Version: 3, Routes: []routes.Route{{
 		Name: "headline", Host: "news.example", Prefix: "/a/", Kind: routes.Streaming, Timeout: time.Second,
 		Split: []routes.Share{{Service: "wordroom", Weight: 1}},
 	}}}))
-	close(s.came)
+	close(s.published)
 }
 
-func routed(s *source) (*gate.Routed, *telemetry.Metrics) {
+func newRouted(s *source) (*gate.Routed, *telemetry.Metrics) {
 	metrics := telemetry.NewMetrics()
 	return gate.NewRouted(s, nil, nil, metrics, zap.NewNop()), metrics
 }
@@ -66,10 +66,10 @@
 // served once the routes are here, not sent away.
 func TestRequestsWaitForTheFirstRoutes(t *testing.T) {
 	s := newSource()
-	front, _ := routed(s)
+	front, _ := newRouted(s)
 	go func() {
 		time.Sleep(50 * time.Millisecond)
-		s.come()
+		s.publishRoutes()
 	}()
 	found, refusal := front.Lookup(t.Context(), "r1", "news.example", "/a/x")
 	if refusal != nil || found.Name != "headline" {
@@ -80,7 +80,7 @@
 // No control VM can be reached. The caller must learn soon that another gate may
 // know more, and when to come back.
 func TestRequestsDoNotWaitForRoutesForLong(t *testing.T) {
-	front, metrics := routed(newSource())
+	front, metrics := newRouted(newSource())
 	began := time.Now()
 	_, refusal := front.Lookup(t.Context(), "r1", "news.example", "/a/x")
 	if took := time.Since(began); took > 3*time.Second {
@@ -98,8 +98,8 @@
 // caller would give up for good.
 func TestAStaleGateDoesNotDenyARoute(t *testing.T) {
 	s := newSource()
-	s.come()
-	front, _ := routed(s)
+	s.publishRoutes()
+	front, _ := newRouted(s)
 	if _, refusal := front.Lookup(t.Context(), "r1", "news.example", "/new/x"); refusal == nil || refusal.Kind != apierr.NotFound {
 		t.Fatalf("in contact: %+v", refusal)
 	}
