--- a/internal/gate/batch/fence.go
+++ b/internal/gate/batch/fence.go
@@ -7,40 +7,40 @@
 	"slateway.example/slateway/internal/apierr"
 )
 
-// ReasonItemLeaseExpired is why an item is stopped that other gates may hold by now.
+// ReasonItemLeaseExpired is the reason of items that are stopped because another gate
+// may have leased them.
 const ReasonItemLeaseExpired apierr.Reason = "lease_out"
 
 const (
-	// fenceShare is the part of a session's lifetime after which its items stop
-	// without a renewal. The rest covers the way of an attempt that is just being
-	// sent and the pace at which the fence is looked at.
+	// fenceShare is the share of a session's lifetime after which its items are
+	// stopped if it is not renewed. The rest covers the time until an attempt that is
+	// being sent arrives, and the interval of the checks.
 	fenceShare = 0.85
-	// fenceChecks is how often the fence is looked at in a session's lifetime.
+	// fenceChecks is the number of checks of the fence within a session's lifetime.
 	fenceChecks = 30
 )
 
-// fence says whether the gate may still run the items that it has leased.
-//
-// It guards against a gate that cannot reach the keepers, or was frozen. They
-// end its session and lease its items to others, and they acknowledge the end
-// of jobs, while the gate goes on sending the items to upstreams. The fence
-// counts from the moment at which the last successful renewal was sent. The
-// keepers count from a later one, so it closes before they end the session.
+// fence tracks whether the gate may still run the items that it has leased. Without
+// it, a gate that cannot reach the keepers, or was frozen, would go on sending items
+// to upstreams after the keepers have ended its session, leased its items to other
+// gates and acknowledged the end of jobs. The fence measures from the sending of the
+// last successful renewal and the keepers from a later time, so that it expires
+// before they end the session.
 type fence struct {
-	lifetime time.Duration // of a session; zero: there is no fence
+	lifetime time.Duration // of a session; zero: the fence never expires
 
 	mu      sync.Mutex
 	renewed time.Time // when the last successful renewal was sent
 }
 
-// renew notes that a renewal sent at that time succeeded.
+// renew records that a renewal sent at that time succeeded.
 func (f *fence) renew(sent time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.renewed = sent
 }
 
-// invalidate says that the keepers have ended the session.
+// invalidate records that the keepers have ended the session.
 func (f *fence) invalidate() { f.renew(time.Time{}) }
 
 // valid reports whether items may run at that time.
@@ -51,7 +51,7 @@
 	return f.age(now) < time.Duration(fenceShare*float64(f.lifetime))
 }
 
-// age is how long ago the session was renewed.
+// age returns the time since the session was renewed.
 func (f *fence) age(now time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -60,5 +60,5 @@
 
 func leaseExpired() *apierr.Error {
 	return apierr.New(apierr.Unavailable, ReasonItemLeaseExpired, "see why the gate could not renew its session with the keepers",
-		"the gate may no longer hold the item").WithRan(apierr.RanUnknown)
+		"the gate's lease of the item may have expired").WithRan(apierr.RanUnknown)
 }
--- a/internal/gate/batch/fence_test.go
+++ b/internal/gate/batch/fence_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// runUntilStopped runs items that end only when they are stopped, and says how far they
-// came and whether they may go on when asked right before an attempt.
+// runUntilStopped returns a router whose items run until they are stopped, which return
+// a partial answer. It passes the check before each attempt to started.
 func runUntilStopped(started chan<- func() *apierr.Error) *engines {
 	return &engines{run: func(ctx context.Context, item proxy.BatchItem) (proxy.BatchResult, error) {
 		started <- item.CheckLease
@@ -46,10 +46,9 @@
 	}}
 }
 
-// A caller ends its job, gets the acknowledgement, and sees an item of it reach
-// an upstream 3.4 s later. The gate that held the item could not reach the
-// keepers: they ended its session and acknowledged the end without it, and the
-// gate went on resuming the item after each preemption.
+// Guards against items that reach an upstream after the end of their job was
+// acknowledged (3.4 s later in one case): the gate cannot reach the keepers, which
+// end its session, and it keeps resuming the items after each preemption.
 func TestItemsStopBeforeAnUnrenewedSessionIsOver(t *testing.T) {
 	g := NewWithT(t)
 	items := leased("job-a", 2)
@@ -64,13 +63,13 @@
 	for range 2 {
 		g.Eventually(started).WithTimeout(10 * time.Second).Should(Receive(&held))
 	}
-	g.Consistently(k.reported, 2*sessionLifetime).Should(BeEmpty(), "items run on while the session is renewed")
+	g.Consistently(k.reported, 2*sessionLifetime).Should(BeEmpty(), "items keep running while the session is renewed")
 
 	lost := time.Now()
 	k.loseContact(errors.New("no keeper answered"))
 	g.Eventually(k.reported).WithTimeout(10 * time.Second).Should(HaveLen(2))
-	g.Expect(time.Since(lost)).To(BeNumerically(">", sessionLifetime/2), "a short loss of contact stops nothing")
-	g.Expect(held().Reason).To(Equal(batch.ReasonItemLeaseExpired), "no attempt starts either")
+	g.Expect(time.Since(lost)).To(BeNumerically(">", sessionLifetime/2), "a short loss of contact stops no items")
+	g.Expect(held().Reason).To(Equal(batch.ReasonItemLeaseExpired), "no further attempt may start")
 	for _, result := range k.reported() {
 		g.Expect(result.Outcome).To(Equal(job.OutcomeReturned))
 		g.Expect(string(result.Partial)).To(Equal("half"))
@@ -78,9 +77,9 @@
 	}
 }
 
-// A gate hears from the keepers that they have ended its session, and goes on
-// sending items to upstreams until its next lease: renewals of no session at
-// all succeeded meanwhile.
+// Guards against a gate that keeps sending items to upstreams after the keepers have
+// reported the end of its session: it noticed only at its next lease, since renewals
+// without a session succeeded.
 func TestItemsStopWhenTheKeepersHaveEndedTheSession(t *testing.T) {
 	g := NewWithT(t)
 	k := &keepers{items: leased("job-a", 2)}
--- a/internal/gate/batch/item.go
+++ b/internal/gate/batch/item.go
@@ -22,30 +22,30 @@
 	result, err := r.run(ctx, leased)
 	switch {
 	case stoppedByFence(ctx):
-		err = nil // the result says how far the item came
+		err = nil // the result holds the part of the answer received
 	case ctx.Err() != nil:
-		return // the job has ended; the keepers have dropped the lease
+		return // the job has ended and the keepers have dropped the lease
 	}
 	reported := job.Result{Job: lease.Job, Item: lease.Item, Attempt: lease.Attempt, CustomID: item.CustomID}
 	setOutcome(&reported, lease, &result, err)
 	r.logEnd(leased, &reported, began)
-	leaving := result.Err != nil && result.Err.Reason == route.ReasonDraining
-	if reported.Outcome == job.OutcomeReturned && !leaving {
-		// The keepers lease a returned item again at once. Without a pause it
-		// would come back here as fast as it is refused.
+	draining := result.Err != nil && result.Err.Reason == route.ReasonDraining
+	if reported.Outcome == job.OutcomeReturned && !draining {
+		// The keepers lease a returned item again at once. Without a delay this gate
+		// would lease and refuse it in a busy loop.
 		sleep(ctx, returnPause)
 	}
 	r.results.add(reported)
 }
 
 func (r *Runner) logEnd(leased *keeperapi.LeasedItem, reported *job.Result, began time.Time) {
-	late := time.Duration(0)
+	overdue := time.Duration(0)
 	if due := leased.Lease.Deadline; due > 0 {
-		late = max(0, time.Since(due.Time()))
+		overdue = max(0, time.Since(due.Time()))
 	}
 	r.options.Log.Info("item ends", telemetry.RequestID(reported.CustomID), zap.String("job", string(reported.Job)),
 		zap.Int("attempt", reported.Attempt), zap.String("outcome", string(reported.Outcome)), telemetry.Reason(string(reported.Reason)),
-		zap.Int("reached", reported.Reached), zap.Duration("after", time.Since(began)), zap.Duration("late", late))
+		zap.Int("reached", reported.Reached), zap.Duration("after", time.Since(began)), zap.Duration("late", overdue))
 }
 
 func (r *Runner) run(ctx context.Context, leased *keeperapi.LeasedItem) (proxy.BatchResult, error) {
@@ -56,26 +56,23 @@
 	item.CheckLease = r.checkLease
 	if leased.Lease.OnlyAnswersCount {
 		item.SaveEvery = saveInterval
-		item.Save = func(piece proxy.PartialAnswer) { r.savePartial(&leased.Lease, piece) }
+		item.Save = func(part proxy.PartialAnswer) { r.savePartial(&leased.Lease, part) }
 	}
 	return r.options.Router.RunBatch(ctx, item)
 }
 
-// saveInterval is how often the pieces of an item's answer are handed to the
-// keepers.
-//
-// Failure guarded against: a gate is killed, or all are, and what its items have
-// made is lost with it, half of their work on the average. A piece bounds the loss to
-// a part of an item's run. Each byte of an answer goes to the keepers twice at most,
-// once in a piece and once in the result.
+// saveInterval is how often the new part of an item's answer is saved at the keepers.
+// Without it, a killed gate would lose half of the work of its running items on the
+// average. Each byte of an answer is sent to the keepers at most twice, once in a
+// part and once in the result.
 const saveInterval = 1500 * time.Millisecond
 
-// savePartial reports a piece of an item's answer. If its report is lost, so are those of
-// the pieces after it, and the item goes on from the last one that was taken.
-func (r *Runner) savePartial(lease *job.Leased, piece proxy.PartialAnswer) {
+// savePartial reports a part of an item's answer. If the report is lost, so are the
+// parts after it, and the item resumes from the last part stored.
+func (r *Runner) savePartial(lease *job.Leased, part proxy.PartialAnswer) {
 	r.results.add(job.Result{
 		Job: lease.Job, Item: lease.Item, Attempt: lease.Attempt, Outcome: job.OutcomeReached,
-		From: piece.From, Reached: piece.Reached, Partial: []byte(piece.Text),
+		From: part.From, Reached: part.Reached, Partial: []byte(part.Text),
 	})
 }
 
@@ -86,15 +83,14 @@
 	return r.itemByPolicy(&leased.Lease, &leased.Item), nil
 }
 
-// returnPause is how long an item that cannot run here is kept before it is
-// given back.
+// returnPause is the delay before an item that cannot run here is returned.
 const returnPause = 250 * time.Millisecond
 
-// graceAfterDeadline is what an item may still take after its job's deadline:
-// a late result is worth more than none.
+// graceAfterDeadline is how long an item may run past its job's deadline: a late
+// result is more useful than none.
 const graceAfterDeadline = time.Hour
 
-// itemByPolicy gives how an item is run by the policy of its team.
+// itemByPolicy returns the batch item with the policy of its team.
 func (r *Runner) itemByPolicy(lease *job.Leased, item *job.Item) proxy.BatchItem {
 	deadline := time.Now().Add(graceAfterDeadline)
 	if due := lease.Deadline.Time(); due.After(deadline) {
@@ -117,8 +113,8 @@
 	}
 }
 
-// policy gives the batch policy of the item's team as it is now, so that a
-// change of the template holds for running jobs too.
+// policy returns the current batch policy of the item's team, so that a change of
+// its template also applies to running jobs.
 func (r *Runner) policy(lease *job.Leased) route.Policy {
 	mode := team.BatchMode(lease.Class)
 	current, found := r.options.Policies.Policy(lease.Team)
--- a/internal/gate/batch/outcome.go
+++ b/internal/gate/batch/outcome.go
@@ -8,10 +8,10 @@
 	"slateway.example/slateway/internal/job"
 )
 
-// reasonUpstreamStatus is the reason of items that their upstream refused.
+// reasonUpstreamStatus is the reason of items answered with an error status.
 const reasonUpstreamStatus apierr.Reason = "upstream_status"
 
-// setOutcome fills in how the attempt ended.
+// setOutcome sets the outcome of an attempt from its result.
 func setOutcome(reported *job.Result, lease *job.Leased, result *proxy.BatchResult, err error) {
 	switch {
 	case err != nil:
@@ -30,8 +30,8 @@
 	}
 }
 
-// setUnansweredOutcome ends an item only if its time is over; else nothing that
-// went wrong on the way speaks against it.
+// setUnansweredOutcome fails an item only if its deadline has passed. After any other
+// failure the item is returned and run again.
 func setUnansweredOutcome(reported *job.Result, result *proxy.BatchResult) {
 	failure := result.Err
 	reported.Outcome = job.OutcomeReturned
@@ -52,12 +52,12 @@
 		reported.Reason = reasonUpstreamStatus
 		reported.Message = http.StatusText(result.Status)
 		if lease.OnlyAnswersCount && result.Status >= http.StatusInternalServerError {
-			reported.Outcome = job.OutcomeRetry // a failure that may pass; it counts
+			reported.Outcome = job.OutcomeRetry // a possibly temporary failure, which counts as an attempt
 		}
 	}
 }
 
-// setFailedOutcome decides whether an item that has no answer is tried again.
+// setFailedOutcome decides whether an item without an answer is retried.
 func setFailedOutcome(reported *job.Result, lease *job.Leased, failure *apierr.Error) {
 	reported.Reason = failure.Reason
 	reported.Message = failure.Error()
--- a/internal/gate/batch/renewal.go
+++ b/internal/gate/batch/renewal.go
@@ -11,7 +11,7 @@
 	"slateway.example/slateway/internal/job"
 )
 
-// heartbeatLoop renews the session and stops the items of jobs that have ended.
+// heartbeatLoop renews the session periodically and stops the items of ended jobs.
 func (r *Runner) heartbeatLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.heartbeat(ctx)
@@ -28,7 +28,7 @@
 	case err == nil:
 		r.fence.renew(sent)
 	case apierr.ReasonOf(err) == job.ReasonUnknownSession:
-		r.options.Log.Warn("batch session not renewed", zap.Error(err))
+		r.options.Log.Warn("batch session ended by the keepers, stopping its items", zap.Error(err))
 		r.fence.invalidate()
 		r.stopItems()
 	case ctx.Err() == nil:
@@ -47,8 +47,7 @@
 	}
 }
 
-// watchFence stops the items once the session has gone without a renewal for
-// too long.
+// watchFence stops the items once the session has not been renewed in time.
 func (r *Runner) watchFence(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, r.options.Lifetime/fenceChecks)
@@ -58,10 +57,11 @@
 	}
 }
 
-// leaseValid reports whether the gate may run items now.
+// leaseValid reports whether the gate may run its leased items now.
 func (r *Runner) leaseValid() bool { return r.fence.valid(time.Now()) }
 
-// checkLease is asked right before each attempt of an item.
+// checkLease returns an error if the gate may no longer run its leased items. It is
+// called right before each attempt.
 func (r *Runner) checkLease() *apierr.Error {
 	if r.leaseValid() {
 		return nil
@@ -69,8 +69,8 @@
 	return leaseExpired()
 }
 
-// stopItems stops all items that run. Each is given back with what there is of
-// its answer, which the keepers use if it is still leased to this gate.
+// stopItems stops all running items. Each is returned with the part of its answer
+// received, which the keepers store if it is still leased to this gate.
 func (r *Runner) stopItems() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,7 +81,7 @@
 	for id, current := range r.running {
 		stopped += current.items
 		current.cancel(leaseExpired())
-		// An item leased later must not begin with a context that has ended.
+		// An item leased later must not start with a cancelled context.
 		delete(r.running, id)
 	}
 	r.options.Log.Warn("batch items stopped, the session was not renewed in time",
--- a/internal/gate/batch/reporter.go
+++ b/internal/gate/batch/reporter.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// maxConcurrentReports is how many groups of results are on their way at once.
+	// maxConcurrentReports is the number of groups of results sent concurrently.
 	maxConcurrentReports = 4
-	// reportRetryDelay is the pause before a group that was not taken is sent again.
+	// reportRetryDelay is the delay before a failed report is sent again.
 	reportRetryDelay = 200 * time.Millisecond
-	// reportTimeout bounds one attempt to report a group.
+	// reportTimeout limits one attempt to report a group.
 	reportTimeout = 10 * time.Second
 )
 
-// reporter gathers results into groups: the keepers sync a group with one write
-// where they would sync each result alone.
+// reporter reports results to the keepers in groups, which they sync to disk with a
+// single write.
 type reporter struct {
 	options Options
 	slots   chan struct{}
-	ready   chan struct{} // gets a value when results wait
-	full    chan struct{} // gets a value when they make a group
+	ready   chan struct{} // receives a value when results are pending
+	full    chan struct{} // receives a value when the pending results make a full group
 
 	mu       sync.Mutex
 	pending  []job.Result
@@ -44,15 +44,15 @@
 func (r *reporter) add(result job.Result) {
 	r.mu.Lock()
 	r.pending = append(r.pending, result)
-	enough := len(r.pending) >= r.options.ResultGroup
+	full := len(r.pending) >= r.options.ResultGroup
 	r.mu.Unlock()
 	signal(r.ready)
-	if enough {
+	if full {
 		signal(r.full)
 	}
 }
 
-// run reports groups until ctx ends. A group goes when it is full, or ResultFlush
+// run reports groups until ctx ends. A group is sent when it is full, or ResultFlush
 // after its first result.
 func (r *reporter) run(ctx context.Context) {
 	for {
@@ -74,8 +74,8 @@
 	}
 }
 
-// flush sends the results that wait. When enough groups are on their way, it asks
-// to be called again, and the group grows meanwhile.
+// flush sends the pending results. While too many groups are being sent, it only
+// signals that results are pending, and the group grows meanwhile.
 func (r *reporter) flush(ctx context.Context) {
 	select {
 	case r.slots <- struct{}{}:
@@ -102,8 +102,8 @@
 	return group
 }
 
-// report repeats a group until the keepers have taken it. The results are the
-// only copy of work that was done; the keepers drop those they have already.
+// report sends a group until the keepers accept it, since the results are the only
+// copy of finished work. The keepers drop duplicates.
 func (r *reporter) report(ctx context.Context, group []job.Result) {
 	for ctx.Err() == nil {
 		attempt, cancel := context.WithTimeout(ctx, reportTimeout)
@@ -112,16 +112,16 @@
 		if err == nil {
 			return
 		}
-		r.options.Log.Warn("batch results not reported yet", zap.Int("results", len(group)), zap.Error(err))
+		r.options.Log.Warn("batch results not reported, will retry", zap.Int("results", len(group)), zap.Error(err))
 		sleep(ctx, reportRetryDelay)
 	}
 }
 
-// drainTimeout bounds the last reports at shutdown; what is not reported by
-// then is leased to another gate when the session ends.
+// drainTimeout limits the last reports at shutdown. Items not reported by then are
+// leased to another gate when the session ends.
 const drainTimeout = 15 * time.Second
 
-// drain reports all that is left.
+// drain reports all remaining results.
 func (r *reporter) drain() {
 	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
--- a/internal/gate/batch/runner.go
+++ b/internal/gate/batch/runner.go
@@ -1,5 +1,5 @@
-// Package batch runs the items of batch jobs on a gate: it leases as many as
-// the router has room for, runs them, and reports their results in groups.
+// Package batch runs the items of batch jobs on a gate. It leases as many items as
+// the router can run, runs them, and reports their results in groups.
 package batch
 
 import (
@@ -26,52 +26,55 @@
 	Close(ctx context.Context) error
 }
 
-// Router runs single items.
+// Router runs batch items.
 type Router interface {
 	BatchTarget(service string, policy route.Policy) int
-	// Updates gets a value when BatchTarget may have changed; nil: it does not tell.
+	// Updates returns a channel that receives a value when BatchTarget may have
+	// changed, or nil if it does not notify.
 	Updates(service string) <-chan struct{}
 	RunBatch(ctx context.Context, item proxy.BatchItem) (proxy.BatchResult, error)
 	Upstreams() []proxy.Replica
 }
 
-// Policies finds the policy of a team.
+// Policies looks up the policy of a team.
 type Policies interface {
 	Policy(team string) (*team.Policy, bool)
 }
 
-// Options are what a Runner needs.
+// Options configures a Runner.
 type Options struct {
 	Session  Session
 	Router   Router
 	Policies Policies
 	Log      *zap.Logger
-	// Route gives how an item is run; nil: as its team's policy says.
+	// Route returns the batch item to run for a leased item; nil: the policy of its
+	// team decides.
 	Route func(leased *keeperapi.LeasedItem) (proxy.BatchItem, error)
 
-	LeaseItems  int           // items asked for at once
-	ResultFlush time.Duration // longest wait of a result for its group
-	ResultGroup int           // results reported together
-	Heartbeat   time.Duration // pace of the session's renewal
-	// Lifetime is how long the keepers keep a session that is not renewed. Items
-	// stop before it is over; zero: they run on.
+	LeaseItems  int           // maximum of items in one lease call
+	ResultFlush time.Duration // longest delay of a result
+	ResultGroup int           // results in a full group
+	Heartbeat   time.Duration // interval of the session's renewals
+	// Lifetime is how long the keepers keep a session that is not renewed. Items are
+	// stopped before it ends; zero: they are not stopped.
 	Lifetime time.Duration
 }
 
 const (
 	// scanInterval is how often a runner looks for new services.
 	scanInterval = 200 * time.Millisecond
-	// capacityInterval is the least time between two looks at a full service.
+	// capacityInterval is the shortest interval between two capacity checks of a
+	// full service.
 	capacityInterval = 5 * time.Millisecond
-	// leaseWait is how long a lease call waits at the keepers for work. The
-	// wanted queues are decided before it, so it also bounds how long a newly
-	// announced model waits for its first item.
+	// leaseWait is how long a lease call waits at the keepers for work. The call
+	// fixes the wanted queues, so it also limits how long a newly announced model
+	// waits for its first item.
 	leaseWait = 5 * time.Second
-	// leaseTimeout bounds a lease call with its repetitions.
+	// leaseTimeout limits a lease call including its retries.
 	leaseTimeout = 10 * time.Second
-	// leaseRetryDelay is the pause after a failed lease call.
+	// leaseRetryDelay is the delay after a failed lease call.
 	leaseRetryDelay = 200 * time.Millisecond
-	// closeTimeout bounds the end of the session at shutdown.
+	// closeTimeout limits the closing of the session at shutdown.
 	closeTimeout = 3 * time.Second
 )
 
@@ -86,21 +89,21 @@
 
 	mu      sync.Mutex
 	held    map[string]int           // items held, by service
-	freed   map[string]chan struct{} // by service: gets a value when an item has ended
+	freed   map[string]chan struct{} // receives a value when an item has ended, by service
 	running map[job.ID]*runningJob
 }
 
-// runningJob is a job of which this gate runs items.
+// runningJob holds the running items of a job at this gate.
 type runningJob struct {
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	items  int
 }
 
-// errJobEnded is why the items of a job stop that needs no more answers.
+// errJobEnded is the cause with which the items of an ended job are cancelled.
 var errJobEnded = errors.New("the job has ended")
 
-// New makes a Runner.
+// New creates a Runner.
 func New(options Options) *Runner {
 	return &Runner{
 		options:  options,
@@ -113,9 +116,9 @@
 	}
 }
 
-// Run leases and runs items until ctx ends. Then it stops leasing, waits for
-// the items that it holds, which the router's drain stops, reports them and
-// ends the session.
+// Run leases and runs items until ctx ends. Then it stops leasing, waits for its
+// items, which the router's drain stops, reports their results and closes the
+// session.
 func (r *Runner) Run(ctx context.Context) {
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -133,11 +136,11 @@
 	closing, cancel := context.WithTimeout(context.WithoutCancel(ctx), closeTimeout)
 	defer cancel()
 	if err := r.options.Session.Close(closing); err != nil {
-		r.options.Log.Info("batch session not closed, it runs out", zap.Error(err))
+		r.options.Log.Info("batch session not closed, the keepers will expire it", zap.Error(err))
 	}
 }
 
-// scan starts a lease loop for each service that announces itself.
+// scan starts a lease loop for each service that is announced.
 func (r *Runner) scan(ctx, background context.Context) {
 	var loops sync.WaitGroup
 	defer loops.Wait()
@@ -166,7 +169,7 @@
 		}
 		items, err := r.lease(ctx, wants)
 		if err != nil && ctx.Err() == nil {
-			r.options.Log.Warn("no batch items leased", zap.String("service", service), zap.Error(err))
+			r.options.Log.Warn("leasing of batch items failed, will retry", zap.String("service", service), zap.Error(err))
 			sleep(ctx, leaseRetryDelay)
 		}
 		for i := range items {
@@ -175,9 +178,9 @@
 	}
 }
 
-// awaitCapacity returns when there may be room for items of the service: roomInterval
-// at least, so that a busy service is not looked at after each decision. A gate that
-// feeds no replica would else look for room for good.
+// awaitCapacity returns when the service may have capacity for items, but not before
+// capacityInterval, so that a busy service is not checked after each decision. Without
+// this delay, a gate that owns no replica would check all the time.
 func (r *Runner) awaitCapacity(ctx context.Context, service string) {
 	r.mu.Lock()
 	freed := r.freed[service]
@@ -199,7 +202,7 @@
 	return r.options.Session.Lease(ctx, wants, leaseWait)
 }
 
-// wants says how many items of each queue of the service to lease: those that
+// wants returns how many items of each queue of the service to lease: those that
 // could start now and a few more, so that a freed slot need not wait for the
 // keepers.
 func (r *Runner) wants(service string) []job.Want {
@@ -217,10 +220,10 @@
 	return wants
 }
 
-// queues lists what the service's replicas can run.
+// queues returns the queues whose items the service's replicas can run.
 func (r *Runner) queues(service string) (queues []job.Queue) {
 	if r.options.Route != nil {
-		return []job.Queue{{Service: service}} // items say themselves what they are for
+		return []job.Queue{{Service: service}} // Route picks the model of each item
 	}
 	for _, replica := range r.options.Router.Upstreams() {
 		if replica.Service != service {
@@ -255,13 +258,13 @@
 	return r.held[service]
 }
 
-// start runs an item beside the others.
+// start runs an item in a goroutine.
 func (r *Runner) start(background context.Context, leased *keeperapi.LeasedItem) {
 	held := *leased
-	within := r.itemStarted(background, &held.Lease)
+	parent := r.itemStarted(background, &held.Lease)
 	r.items.Go(func() {
-		defer r.itemEnded(&held.Lease, within)
-		r.runItem(within.ctx, &held)
+		defer r.itemEnded(&held.Lease, parent)
+		r.runItem(parent.ctx, &held)
 	})
 }
 
@@ -279,17 +282,17 @@
 	return current
 }
 
-func (r *Runner) itemEnded(lease *job.Leased, within *runningJob) {
+func (r *Runner) itemEnded(lease *job.Leased, parent *runningJob) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.held[lease.Queue.Service]--
 	signal(r.freed[lease.Queue.Service])
-	within.items--
-	if within.items > 0 {
+	parent.items--
+	if parent.items > 0 {
 		return
 	}
-	within.cancel(errJobEnded)
-	if r.running[lease.Job] == within {
+	parent.cancel(errJobEnded)
+	if r.running[lease.Job] == parent {
 		delete(r.running, lease.Job)
 	}
 }
@@ -305,7 +308,7 @@
 	return ids
 }
 
-// signal wakes the reader of a channel that holds one value.
+// signal sends a value to a channel with a buffer of one, unless it is full.
 func signal(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/internal/gate/batch/runner_test.go
+++ b/internal/gate/batch/runner_test.go
@@ -22,14 +22,14 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// keepers is a fake session: it leases the given items once each, and takes
-// results unless told to fail.
+// keepers is a fake session. It leases each item once and accepts results after a
+// number of failures.
 type keepers struct {
 	mu           sync.Mutex
 	items        []keeperapi.LeasedItem
-	failures     int // of Complete, before it works
+	failures     int // number of calls of Complete that fail
 	ended        []job.ID
-	heartbeatErr error // what Heartbeat fails with
+	heartbeatErr error // returned by Heartbeat
 	results      []job.Result
 	closed       bool
 }
@@ -55,7 +55,7 @@
 	return k.ended, k.heartbeatErr
 }
 
-// loseContact makes each renewal fail from now on.
+// loseContact makes all further renewals fail.
 func (k *keepers) loseContact(err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -92,10 +92,10 @@
 	k.ended = append(k.ended, id)
 }
 
-// engines is a fake router with one replica that runs items by run.
+// engines is a fake router with one replica, whose items are run by run.
 type engines struct {
-	full        bool         // there is room for no item
-	targetCalls atomic.Int64 // how often that was asked for
+	full        bool         // there is no capacity for items
+	targetCalls atomic.Int64 // calls of BatchTarget
 	run         func(ctx context.Context, item proxy.BatchItem) (proxy.BatchResult, error)
 }
 
@@ -130,7 +130,7 @@
 	return items
 }
 
-// start runs a Runner until stop is called, which returns once it has ended.
+// start runs a Runner. stop ends it and waits until it has ended.
 func start(k *keepers, e *engines) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	runner := batch.New(batch.Options{
@@ -152,9 +152,9 @@
 	return proxy.BatchResult{Outcome: proxy.BatchDone, Status: 200, Body: []byte(`{}`)}, nil
 }
 
-// A caller sees its job stop at 99%. The keepers had no leader for a moment
-// when a gate reported its results, and the gate dropped them; the items wait
-// until the gate's session ends, and are run a second time.
+// Guards against results dropped because the keepers had no leader when the gate
+// reported them: the job appears stuck until the gate's session ends, and its last
+// items are run a second time.
 func TestResultsAreReportedUntilTheKeepersTakeThem(t *testing.T) {
 	g := NewWithT(t)
 	k := &keepers{items: leased("job-a", 20), failures: 3}
@@ -169,9 +169,8 @@
 	g.Expect(seen).To(HaveLen(20))
 }
 
-// An operator cancels a job and sees its requests go on at the engines until
-// each has ended. The gate learned of the cancel with its next heartbeat and
-// only stopped leasing; the streams in progress ran on.
+// Guards against items that keep running after their job was cancelled: the gate
+// learns of it with its next heartbeat but only stops leasing.
 func TestCancelledJobStopsItsRunningItemsAndNoOthers(t *testing.T) {
 	g := NewWithT(t)
 	k := &keepers{items: append(leased("job-a", 2), leased("job-b", 1)...)}
@@ -234,13 +233,14 @@
 	}
 }
 
-// Guards against gates that feed no replica and spend their processor time on looking for room.
+// Guards against a gate that owns no replica and uses its processor time up on
+// checking for capacity.
 func TestAGateWithoutRoomLooksForItNowAndThen(t *testing.T) {
 	e := &engines{full: true}
 	stop := startWithLifetime(&keepers{}, e)
 	time.Sleep(time.Second)
 	stop()
 	if got := e.targetCalls.Load(); got < 2 || got > 20 {
-		t.Errorf("looked %d times in a second", got)
+		t.Errorf("checked the capacity %d times in a second, want 2 to 20", got)
 	}
 }
