--- a/internal/gate/access.go
+++ b/internal/gate/access.go
@@ -1,6 +1,6 @@
-// Package gate is the role of a VM that callers talk to: it authenticates and
+// Package gate implements the role of a VM that serves callers. It authenticates and
 // routes online requests, and runs the items of batch jobs in the capacity that
-// online requests leave.
+// online requests leave free.
 package gate
 
 import (
@@ -12,7 +12,7 @@
 	"slateway.example/slateway/internal/team"
 )
 
-// Reasons of refusals before a request is routed.
+// Reasons for refusing a request before it is routed.
 const (
 	ReasonUnknownToken  apierr.Reason = "unknown_token"
 	ReasonNoConfig      apierr.Reason = "no_configuration"
@@ -20,24 +20,25 @@
 	configRetryInterval               = time.Second
 )
 
-// Access decides under which policy a request is served, if at all.
+// Access authenticates requests and returns the policy by which they are served.
 type Access struct {
 	watcher    *keeperclient.Watcher
 	serveStale bool
 	now        func() time.Time
 }
 
-// NewAccess makes an Access that follows watcher. With serveStale it serves on
-// after the configuration lease has run out.
+// NewAccess creates an Access that uses the configuration of watcher. With serveStale
+// it continues to serve after the configuration lease has expired.
 func NewAccess(watcher *keeperclient.Watcher, serveStale bool) *Access {
 	return &Access{watcher: watcher, serveStale: serveStale, now: time.Now}
 }
 
-// Authenticate finds the policy of the team that owns a bearer token.
+// Authenticate returns the policy of the team that owns a bearer token.
 //
-// A gate that the keepers cannot reach would serve by a revision that operators
-// were told is replaced. Its lease runs out before they are told so; from then
-// on it refuses, unless the site chose to serve on by the last revision.
+// It refuses all requests once the configuration lease has expired, unless the site
+// chose to keep serving by the last revision. A change is acknowledged to operators
+// only after the leases of unreachable gates have expired, so that no gate serves by
+// a replaced revision.
 func (a *Access) Authenticate(token string) (*team.Policy, error) {
 	if err := a.ready(); err != nil {
 		return nil, err
@@ -53,16 +54,15 @@
 
 func (a *Access) ready() error {
 	if a.watcher.Revision() == 0 && a.watcher.LeaseUntil().IsZero() {
-		return apierr.New(apierr.Unavailable, ReasonNoConfig, "use another gate or come back",
-			"this gate has not heard from a keeper yet").WithRetryAfter(configRetryInterval)
+		return apierr.New(apierr.Unavailable, ReasonNoConfig, "use another gate or retry later",
+			"this gate has not received a configuration from the keepers yet").WithRetryAfter(configRetryInterval)
 	}
 	if a.serveStale || a.now().Before(a.watcher.LeaseUntil()) {
 		return nil
 	}
-	return apierr.New(apierr.Unavailable, ReasonLeaseExpired, "use another gate or come back",
-		"this gate cannot reach the keepers, its configuration may be out of date").WithRetryAfter(configRetryInterval)
+	return apierr.New(apierr.Unavailable, ReasonLeaseExpired, "use another gate or retry later",
+		"this gate cannot reach the keepers and its configuration may be out of date").WithRetryAfter(configRetryInterval)
 }
 
-// Stale reports whether the gate serves by a configuration that may be out of
-// date.
+// Stale reports whether the configuration may be out of date.
 func (a *Access) Stale() bool { return !a.now().Before(a.watcher.LeaseUntil()) }
--- a/internal/gate/authenticate.go
+++ b/internal/gate/authenticate.go
@@ -11,26 +11,26 @@
 	"slateway.example/slateway/internal/telemetry"
 )
 
-// Reasons of requests that are refused for their key.
+// Reasons for refusing a request because of its key.
 const (
 	ReasonNoKey      apierr.Reason = "no_key"
 	ReasonUnknownKey apierr.Reason = "unknown_key"
-	// ReasonKeyUnconfirmed is of a gate that does not know whether the key is new.
+	// ReasonKeyUnconfirmed means that the gate cannot tell whether the key is new.
 	ReasonKeyUnconfirmed apierr.Reason = "key_unconfirmed"
 )
 
 const (
-	// confirmTimeout bounds the question whether an unknown key is new.
+	// confirmTimeout limits the wait for confirmation that the routes are the newest.
 	confirmTimeout = 700 * time.Millisecond
-	// confirmRetryAfter is when to come back if there was no answer to it.
+	// confirmRetryAfter is the Retry-After if they were not confirmed.
 	confirmRetryAfter = 300 * time.Millisecond
 )
 
-// Authenticate finds the team that holds a key. The team is empty where callers show
-// no keys, and on routes that allow anonymous requests unless the key is known.
+// Authenticate returns the team that holds a key. The team is empty if the routes
+// require no keys, and on routes that allow anonymous requests if the key is unknown.
 //
-// To callers an unknown key is final, so a gate that does not know one first asks
-// whether it has the newest routes: an operator may just have added the key.
+// Callers do not retry after the refusal of an unknown key, so the gate first confirms
+// that it has the newest routes: an operator may just have added the key.
 func (f *Routed) Authenticate(ctx context.Context, requestID, key string, anonymous bool) (routes.Team, *apierr.Error) {
 	matcher := f.awaitRoutes(ctx)
 	if team := matcher.TeamOf(key); team != nil {
@@ -53,7 +53,8 @@
 	return routes.Team{}, refusal
 }
 
-// confirmRoutes makes sure that the routes are the newest; a missing key needs no question.
+// confirmRoutes confirms that the routes are the newest. A missing key needs no
+// confirmation.
 func (f *Routed) confirmRoutes(ctx context.Context, matcher *routes.Matcher, key string) error {
 	if key == "" && matcher.Version() > 0 {
 		return nil
@@ -64,12 +65,12 @@
 func keyRefusal(key string, version uint64, unconfirmed error) *apierr.Error {
 	switch {
 	case unconfirmed != nil:
-		return apierr.New(apierr.Unavailable, ReasonKeyUnconfirmed, "use another gate or come back",
-			"no team of version %d of the routes has the key, and this gate may not have the newest", version).WithRetryAfter(confirmRetryAfter)
+		return apierr.New(apierr.Unavailable, ReasonKeyUnconfirmed, "use another gate or retry later",
+			"no team in version %d of the routes has the key, and this gate may not have the newest version", version).WithRetryAfter(confirmRetryAfter)
 	case key == "":
 		return apierr.New(apierr.Unauthorized, ReasonNoKey, "send a key of your team", "the request has no key")
 	default:
-		return apierr.New(apierr.Unauthorized, ReasonUnknownKey, "ask the operators for a key in force",
-			"no team of version %d of the routes has the key", version)
+		return apierr.New(apierr.Unauthorized, ReasonUnknownKey, "ask the operators for a valid key",
+			"no team in version %d of the routes has the key", version)
 	}
 }
--- a/internal/gate/authenticate_test.go
+++ b/internal/gate/authenticate_test.go
@@ -9,7 +9,7 @@
 	"slateway.example/slateway/internal/routes"
 )
 
-// withTeams gives routes in which one team has these keys.
+// withTeams returns routes in which one team has the given keys.
 func withTeams(version uint64, keys ...string) *routes.Matcher {
 	team := routes.Team{Name: "council"}
 	for _, key := range keys {
@@ -18,7 +18,7 @@
 	return routes.NewMatcher(&routes.Document{Version: version, RequiresKey: true, Teams: []routes.Team{team}})
 }
 
-// Guards against a final refusal of a key that was added a moment ago.
+// Guards against the final refusal of a key that has just been added.
 func TestAKeyIsLookedUpInTheNewestRoutesBeforeItIsRefused(t *testing.T) {
 	s := newSource()
 	s.matcher.Store(withTeams(3, "old"))
@@ -42,7 +42,7 @@
 	}
 }
 
-// Guards against questions to the control VMs for each request that shows a known key, or none.
+// Guards against a call to the control VMs for each request with a known key or none.
 func TestOnlyUnknownKeysAreAskedFor(t *testing.T) {
 	s := newSource()
 	s.matcher.Store(withTeams(3, "old"))
@@ -56,11 +56,11 @@
 		}
 	}
 	if asked != 1 {
-		t.Errorf("asked %d times", asked)
+		t.Errorf("confirmed the routes %d times, want once", asked)
 	}
 }
 
-// Guards against keys that are asked for where the routes name no teams.
+// Guards against the refusal of requests without a key if the routes have no teams.
 func TestWhereThereAreNoTeamsNoKeyIsNeeded(t *testing.T) {
 	s := newSource()
 	s.publishRoutes()
--- a/internal/gate/claims.go
+++ b/internal/gate/claims.go
@@ -16,7 +16,7 @@
 	"slateway.example/slateway/internal/telemetry"
 )
 
-// Reasons of answers to resent non-idempotent requests.
+// Reasons for refusing resent non-idempotent requests.
 const (
 	ReasonStillRunning   apierr.Reason = "still_running"
 	ReasonOutcomeUnknown apierr.Reason = "outcome_unknown"
@@ -24,27 +24,27 @@
 )
 
 const (
-	// claimTimeout bounds the claim of a request before it is sent.
+	// claimTimeout limits the claim of a request before it is sent.
 	claimTimeout = 3 * time.Second
-	// finishTimeout bounds the report of a claim's outcome. It may take long:
-	// the caller has its answer already, and a lost report only means that a
-	// resend is told "unknown".
+	// finishTimeout limits the report of a claim's outcome. It is long because the
+	// caller already has its answer, and after a lost report a resend is answered
+	// with "outcome unknown".
 	finishTimeout = time.Minute
-	// stillRunningRetryAfter is when to ask again for the outcome of a running claim.
+	// stillRunningRetryAfter is the Retry-After while the claimed request runs.
 	stillRunningRetryAfter = 500 * time.Millisecond
-	// maxOutcomeBytes bounds a stored answer; a longer one is not stored, and a
-	// resend is told "unknown".
+	// maxOutcomeBytes limits a stored answer. A longer one is not stored, and a
+	// resend is answered with "outcome unknown".
 	maxOutcomeBytes = 1 << 20
 )
 
-// Claims lets non-idempotent requests with a key run at most once, through
-// whichever gates they are resent.
+// Claims ensures that a non-idempotent request with a key runs at most once, even if
+// it is resent through other gates.
 type Claims struct {
 	session *keeperclient.Session
 	log     *zap.Logger
 }
 
-// NewClaims makes Claims under the gate's session with the keepers.
+// NewClaims creates Claims that belong to the gate's session with the keepers.
 func NewClaims(session *keeperclient.Session, log *zap.Logger) *Claims {
 	return &Claims{session: session, log: log}
 }
@@ -56,9 +56,9 @@
 	Body        []byte `cbor:"3,keyasint"`
 }
 
-// Run serves a request by serve. One that is marked non-idempotent and has a
-// key is claimed in the replicated state first: a resend through any gate then
-// finds the claim and gets its outcome in place of a second run.
+// Run serves a request by calling serve. A non-idempotent request with a key is first
+// claimed in the replicated state, so that a resend through any gate finds the claim
+// and receives its outcome instead of running again.
 func (c *Claims) Run(w http.ResponseWriter, r *http.Request, request *call, serve func(http.ResponseWriter),
 	refuse func(http.ResponseWriter, *http.Request, *call, error),
 ) {
@@ -81,7 +81,7 @@
 	c.finish(request, recorder.claimFinish(request))
 }
 
-// fingerprint tells a resend from another request under the same key.
+// fingerprint distinguishes a resend from another request with the same key.
 func (c *call) fingerprint() uint64 { return xxhash.Sum64(c.body) }
 
 func (c *Claims) claim(ctx context.Context, request *call) (*claimed, error) {
@@ -91,13 +91,13 @@
 	if err == nil {
 		return &claimed{State: response.State, Outcome: response.Outcome}, nil
 	}
-	known := apierr.From(err)
-	if known.Kind == apierr.Conflict || known.Kind == apierr.Invalid {
-		return nil, known
+	refusal := apierr.From(err)
+	if refusal.Kind == apierr.Conflict || refusal.Kind == apierr.Invalid {
+		return nil, refusal
 	}
 	// The claim itself may be stored, but nothing was sent to an upstream.
-	return nil, apierr.New(apierr.Unavailable, ReasonClaimFailed, "send it again with the same key",
-		"the request could not be claimed: %v", known.Message).WithRetryAfter(configRetryInterval)
+	return nil, apierr.New(apierr.Unavailable, ReasonClaimFailed, "resend the request with the same key",
+		"the request could not be claimed at the keepers: %v", refusal.Message).WithRetryAfter(configRetryInterval)
 }
 
 // claimed is the keepers' answer to a claim.
@@ -106,8 +106,8 @@
 	Outcome []byte
 }
 
-// release frees the key of a request that was not sent, as far as the keepers
-// can be reached; otherwise it is freed when the gate's session ends.
+// release frees the key of a request that was not sent. If the keepers cannot be
+// reached, the key is freed when the gate's session ends.
 func (c *Claims) release(request *call) {
 	c.finish(request, claim.Finish{Team: request.policy.Team, Key: request.idempotencyKey, ID: request.id, NotRun: true})
 }
@@ -136,15 +136,15 @@
 		w.WriteHeader(done.Status)
 		_, _ = w.Write(done.Body)
 	case claim.StateRunning:
-		refuse(w, r, request, apierr.New(apierr.Conflict, ReasonStillRunning, "ask again with the same key for its outcome",
-			"the request with this key is running").WithRan(apierr.RanUnknown).WithRetryAfter(stillRunningRetryAfter))
+		refuse(w, r, request, apierr.New(apierr.Conflict, ReasonStillRunning, "resend the request with the same key to get its outcome",
+			"the request with this key is still running").WithRan(apierr.RanUnknown).WithRetryAfter(stillRunningRetryAfter))
 	default:
 		refuse(w, r, request, apierr.New(apierr.Conflict, ReasonOutcomeUnknown, "check by other means whether it took effect, then use a new key",
-			"the request with this key may have run; its outcome was lost").WithRan(apierr.RanUnknown))
+			"the request with this key may have run, but its outcome is not known").WithRan(apierr.RanUnknown))
 	}
 }
 
-// recorder passes an answer on and keeps a copy of it.
+// recorder forwards an answer and keeps a copy of it.
 type recorder struct {
 	http.ResponseWriter
 	status   int
@@ -152,14 +152,14 @@
 	overflow bool
 }
 
-// WriteHeader notes the status.
+// WriteHeader records and forwards the status.
 func (r *recorder) WriteHeader(status int) {
 	r.status = status
 	r.ResponseWriter.WriteHeader(status)
 }
 
-// Write keeps a copy. The answer is kept even if the caller has left: its
-// resend asks for it.
+// Write copies and forwards data. The copy is kept even if the caller has
+// disconnected, since a resend asks for it.
 func (r *recorder) Write(data []byte) (int, error) {
 	if r.body.Len()+len(data) > maxOutcomeBytes {
 		r.overflow = true
@@ -169,13 +169,13 @@
 	return r.ResponseWriter.Write(data)
 }
 
-// Unwrap lets http.ResponseController reach the connection.
+// Unwrap gives http.ResponseController access to the connection.
 func (r *recorder) Unwrap() http.ResponseWriter { return r.ResponseWriter }
 
-// streamEnd is the last event of a whole SSE answer.
+// streamEnd is the last event of a complete SSE answer.
 var streamEnd = []byte("data: [DONE]")
 
-// claimFinish says how the claim ends by the answer that was given.
+// claimFinish returns how the claim ends, which depends on the recorded answer.
 func (r *recorder) claimFinish(request *call) claim.Finish {
 	finish := claim.Finish{Team: request.policy.Team, Key: request.idempotencyKey, ID: request.id}
 	contentType := r.Header().Get("Content-Type")
--- a/internal/gate/credited.go
+++ b/internal/gate/credited.go
@@ -10,39 +10,39 @@
 	"slateway.example/slateway/internal/limit"
 )
 
-// Credit holds all gates together to what teams may send.
+// Credit enforces the request limits of teams across all gates.
 type Credit interface {
-	// Take takes a credit for a request; its error says why there is none.
+	// Take takes a credit for a request; its error is the reason why there is none.
 	Take(ctx context.Context, r *credit.Request) *apierr.Error
-	// Return gives back the credit of a request that has not run.
+	// Return returns the credit of a request that did not run.
 	Return(r *credit.Request)
 }
 
-// overdueHoldDivisor: a request whose answer has lost most of its use waits for a credit of its
-// team for a third of the time that its caller still gives it. Others are refused at
-// once: their callers know better what to do with the time that is left.
+// overdueHoldDivisor is the divisor of the caller's timeout that limits how long an
+// overdue request waits for a credit of its team. Other requests are refused at once,
+// since their callers can make better use of the remaining time.
 const overdueHoldDivisor = 3
 
-// newCreditRequest gives what a request needs of its team's credit. Longest is how long its
-// caller waits, waited how long it has tried already.
+// newCreditRequest returns the request for a credit of the team. longest is how long the
+// caller waits from now on, and waited is how long it has been trying already.
 func newCreditRequest(found Found, r *RoutedRequest, longest, waited time.Duration) *credit.Request {
-	taken := &credit.Request{
+	request := &credit.Request{
 		ID: r.ID, Team: r.Team.Name, Cap: limit.Cap{Rate: r.Team.Rate, Burst: r.Team.Burst}, Version: found.Matcher.Version(),
 	}
 	if found.TargetLatency > 0 && waited >= found.TargetLatency {
-		taken.HoldUntil = r.Arrived.Add(longest / overdueHoldDivisor)
+		request.HoldUntil = r.Arrived.Add(longest / overdueHoldDivisor)
 	}
-	return taken
+	return request
 }
 
-// creditedCaller gives the credit of a request back that ends without having run.
+// creditedCaller returns the credit of a request that ends without having run.
 type creditedCaller struct {
 	proxy.Caller
 	credit  Credit
 	request *credit.Request
 }
 
-// Refuse gives the final answer of a request that has no other.
+// Refuse answers the request with an error and returns its credit if it did not run.
 func (c *creditedCaller) Refuse(err *apierr.Error) {
 	if err.Ran == apierr.RanNo {
 		c.credit.Return(c.request)
--- a/internal/gate/entries.go
+++ b/internal/gate/entries.go
@@ -9,9 +9,9 @@
 	"slateway.example/slateway/internal/member"
 )
 
-// Entries tells callers which gates to use, from what this gate knows of the
-// others. Asked at a gate, callers do not depend on the few control VMs: one that
-// is frozen would hold each caller that asks it first for a second.
+// Entries returns the gates that callers should use, according to this gate's view of
+// the others. Callers that ask a gate do not depend on the few control VMs, of which
+// a frozen one would delay each caller that asks it first by a second.
 type Entries struct {
 	options EntriesOptions
 
@@ -19,22 +19,22 @@
 	directory *directory.Directory
 }
 
-// EntriesOptions are what Entries needs. All must be set.
+// EntriesOptions configures Entries. All fields are required.
 type EntriesOptions struct {
 	Members  func() []member.Member
-	Serving  func() bool // whether this gate itself may be named
+	Serving  func() bool // whether the answer may include this gate
 	Place    string      // of this gate
 	Lifetime time.Duration
-	Limit    int // gates in one answer
+	Limit    int // maximum number of gates in an answer
 	Metrics  Metrics
 }
 
-// NewEntries makes an Entries that draws by d.
+// NewEntries creates an Entries that chooses gates with d.
 func NewEntries(options EntriesOptions, d *directory.Directory) *Entries {
 	return &Entries{options: options, directory: d}
 }
 
-// Entries tells a caller in a place which gates to use.
+// Entries returns the gates that a caller in the given place should use.
 func (e *Entries) Entries(place string) (directory.Answer, error) {
 	if place == "" {
 		place = e.options.Place
--- a/internal/gate/jobs.go
+++ b/internal/gate/jobs.go
@@ -18,35 +18,35 @@
 	"slateway.example/slateway/internal/telemetry"
 )
 
-// Jobs takes callers' batch jobs by the operators' routes.
+// Jobs accepts callers' batch jobs according to the operators' routes.
 type Jobs struct {
 	options JobsOptions
 }
 
-// JobsOptions are what Jobs needs. All must be set.
+// JobsOptions configures Jobs. All fields are required.
 type JobsOptions struct {
 	Keepers   *keeperclient.Client
 	Source    RouteSource
 	Router    *proxy.Router
 	Metrics   Metrics
 	Log       *zap.Logger
-	Retention time.Duration // results stay readable after a job's end
-	Timeout   time.Duration // of a call that names no other
-	// Protocol gives how an item of a host is run.
+	Retention time.Duration // how long results stay readable after a job's end
+	Timeout   time.Duration // limits calls without a timeout of their own
+	// Protocol returns the protocol that runs an item of a host.
 	Protocol func(host, team string, item *job.Item) proxy.Protocol
 }
 
-// NewJobs makes a Jobs.
+// NewJobs creates a Jobs.
 func NewJobs(options JobsOptions) *Jobs { return &Jobs{options: options} }
 
-// JobName is how callers name a job: by an ID that is the team's own, on a host.
-// Team is empty where callers show no keys.
+// JobName identifies a job to callers: by an ID within the team, on a host. Team is
+// empty if the routes require no keys.
 type JobName struct {
 	Host, Team, ID string
 }
 
-// key gives the job key under which the keepers hold the job. With the team in it,
-// the jobs of other teams are not found, whatever ID a caller gives.
+// key returns the job key that the keepers use. It includes the team, so that a caller
+// cannot access other teams' jobs, whatever ID it sends.
 func (n JobName) key() string {
 	if n.Team == "" {
 		return n.ID
@@ -56,7 +56,7 @@
 
 func (n JobName) jobID() job.ID { return job.NewID(n.Host, n.key()) }
 
-// SubmittedItem is an item of a job as its caller handed it in.
+// SubmittedItem is an item of a job as submitted by its caller.
 type SubmittedItem struct {
 	ID     string
 	Path   string
@@ -65,19 +65,19 @@
 	Tokens uint32
 }
 
-// maxSubmittedItems bounds a job that is handed in whole.
+// maxSubmittedItems limits a job that is submitted in one request.
 const maxSubmittedItems = 200
 
-// Reasons of refused jobs.
+// Reasons for refusing jobs and items.
 const (
 	ReasonTooManyItems apierr.Reason = "too_many_items"
 	ReasonItemNoRoute  apierr.Reason = "item_without_route"
 )
 
-// Submit accepts a whole job of a team, or nothing of it.
+// Submit accepts all items of a team's job, or none.
 func (j *Jobs) Submit(ctx context.Context, found Found, team, id string, items []SubmittedItem) error {
 	if len(items) == 0 || len(items) > maxSubmittedItems {
-		return j.logRefusal("job refused", id, apierr.New(apierr.Invalid, ReasonTooManyItems, "split the job",
+		return j.logRefusal("job refused", id, apierr.New(apierr.Invalid, ReasonTooManyItems, "send at least one item, or split the job",
 			"a job has 1 to %d items, not %d", maxSubmittedItems, len(items)))
 	}
 	ctx, cancel := context.WithTimeout(ctx, found.Timeout)
@@ -117,15 +117,15 @@
 }
 
 func (j *Jobs) logRefusal(what, id string, err error) error {
-	known := apierr.From(err)
-	j.options.Metrics.Refused(known.Reason)
-	j.options.Log.Info(what, telemetry.RequestID(id), telemetry.Reason(string(known.Reason)),
-		zap.String("ran", string(known.Ran)), zap.String("message", known.Message))
-	return known
+	refusal := apierr.From(err)
+	j.options.Metrics.Refused(refusal.Reason)
+	j.options.Log.Info(what, telemetry.RequestID(id), telemetry.Reason(string(refusal.Reason)),
+		zap.String("ran", string(refusal.Ran)), zap.String("message", refusal.Message))
+	return refusal
 }
 
-// Results reads results of a job in the order in which they were made, at most
-// maxBytes of them; it waits up to wait for the first.
+// Results returns results of a job in the order of their completion, starting at
+// position and limited to maxBytes. It waits up to wait for the first one.
 func (j *Jobs) Results(ctx context.Context, named JobName, position uint32, maxBytes int, wait time.Duration) (*keeperapi.ListResultsResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+j.options.Timeout)
 	defer cancel()
@@ -138,7 +138,7 @@
 	return response, nil
 }
 
-// Item reads the body of an item that waits or runs.
+// Item returns the body of an item that is waiting or running.
 func (j *Jobs) Item(ctx context.Context, named JobName, item string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, j.options.Timeout)
 	defer cancel()
@@ -149,7 +149,7 @@
 	return found.Body, nil
 }
 
-// End ends a job for good; one that has ended by itself is left as it is.
+// End cancels a job. A job that has already ended is not changed.
 func (j *Jobs) End(ctx context.Context, named JobName) error {
 	ctx, cancel := context.WithTimeout(ctx, j.options.Timeout)
 	defer cancel()
@@ -161,7 +161,8 @@
 	return nil
 }
 
-// Route says how a leased item is run: by the route that its path has now.
+// Route returns the batch item for a leased item, according to the current route of
+// its path.
 func (j *Jobs) Route(leased *keeperapi.LeasedItem) (proxy.BatchItem, error) {
 	lease, item := &leased.Lease, &leased.Item
 	now := time.Now()
@@ -169,7 +170,7 @@
 	found := matcher.Match(lease.Team, item.Endpoint)
 	if found == nil || found.Kind != routes.Batch {
 		return proxy.BatchItem{}, apierr.New(apierr.Unavailable, ReasonItemNoRoute, "add a batch route for the item's path",
-			"no batch route of version %d fits %s%s", matcher.Version(), lease.Team, item.Endpoint)
+			"no batch route in version %d matches %s%s", matcher.Version(), lease.Team, item.Endpoint)
 	}
 	routed := proxy.BatchItem{
 		ID:                 string(lease.Job) + "/" + item.CustomID,
@@ -191,8 +192,8 @@
 	return routed, nil
 }
 
-// service keeps the service that the job was queued for, as long as the route
-// still goes there.
+// service returns the service for which the job was queued while the route still
+// sends requests there, otherwise one of the route's services.
 func (j *Jobs) service(found *routes.Route, queued string) string {
 	for _, share := range found.Split {
 		if share.Service == queued && share.Weight > 0 {
--- a/internal/gate/online.go
+++ b/internal/gate/online.go
@@ -24,29 +24,29 @@
 	// HeaderDeadline is the time left for the answer: whole milliseconds, a
 	// duration such as 30s, or a time in RFC 3339.
 	HeaderDeadline = proxy.HeaderDeadline
-	// HeaderIdempotencyKey names the request; with HeaderNonIdempotent a resend
-	// under the same key is not run again.
+	// HeaderIdempotencyKey identifies the request. With HeaderNonIdempotent, a resend
+	// with the same key is not run again.
 	HeaderIdempotencyKey = "Idempotency-Key"
 	// HeaderNonIdempotent marks a request that must run at most once.
 	HeaderNonIdempotent = "Slateway-Non-Idempotent"
-	// HeaderRepeatable marks a request to a plain service that may run twice,
-	// where its method does not say so already.
+	// HeaderRepeatable marks a request to a plain service that may run twice although
+	// its method is not idempotent.
 	HeaderRepeatable = "Slateway-Repeatable"
-	// HeaderStale marks answers of a gate that serves on without a lease.
+	// HeaderStale marks answers of a gate whose configuration lease has expired.
 	HeaderStale = "Slateway-Stale-Configuration"
 )
 
-// Reasons of refused online requests.
+// Reasons for refusing online requests.
 const (
 	ReasonUnknownService apierr.Reason = "unknown_service"
 )
 
-// Metrics counts refusals by reason.
+// Metrics counts refused requests by reason.
 type Metrics interface {
 	Refused(reason apierr.Reason)
 }
 
-// Front serves callers' online requests.
+// Front serves online requests of callers.
 type Front struct {
 	access  *Access
 	router  *proxy.Router
@@ -56,12 +56,12 @@
 	maxBody int64
 }
 
-// NewFront makes a Front that refuses bodies over maxBody bytes.
+// NewFront creates a Front that refuses bodies of more than maxBody bytes.
 func NewFront(access *Access, router *proxy.Router, claims *Claims, metrics Metrics, log *zap.Logger, maxBody int64) *Front {
 	return &Front{access: access, router: router, claims: claims, metrics: metrics, log: log, maxBody: maxBody}
 }
 
-// call is one online request on its way through the gate.
+// call is one online request of a caller.
 type call struct {
 	id             string
 	policy         *team.Policy
@@ -71,7 +71,7 @@
 	idempotencyKey string
 }
 
-// ServeCompletions answers POST /v1/chat/completions and /v1/completions.
+// ServeCompletions serves POST /v1/chat/completions and /v1/completions.
 func (f *Front) ServeCompletions(w http.ResponseWriter, r *http.Request) {
 	c, err := f.prepare(w, r)
 	if err != nil {
@@ -100,8 +100,8 @@
 	}, f.refuse)
 }
 
-// ServeService answers requests to a plain service at path, which has the
-// service's name cut off.
+// ServeService serves requests to a plain service. path does not include the
+// service's name.
 func (f *Front) ServeService(w http.ResponseWriter, r *http.Request, service, path string) {
 	c, err := f.prepare(w, r)
 	if err != nil {
@@ -110,7 +110,7 @@
 	}
 	if !c.policy.Service(service) {
 		f.refuse(w, r, c, apierr.New(apierr.NotFound, ReasonUnknownService,
-			"name a service of the team's template", "team %s has no service %q", c.policy.Team, service))
+			"use a service of the team's template", "team %s has no service %q", c.policy.Team, service))
 		return
 	}
 	if r.URL.RawQuery != "" {
@@ -132,8 +132,8 @@
 	}, f.refuse)
 }
 
-// repeatable says whether running a plain service's call twice is harmless: by
-// its method (RFC 9110, 9.2.2) or because the caller says so.
+// repeatable reports whether a plain service's call may run twice, because its method
+// is idempotent (RFC 9110, 9.2.2) or because the caller has marked it.
 func repeatable(r *http.Request) bool {
 	switch r.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPut, http.MethodDelete:
@@ -148,8 +148,8 @@
 	return err == nil && value
 }
 
-// prepare reads what all online requests have in common. The call has at least
-// an ID when it fails.
+// prepare authenticates an online request and reads its headers and body. The call
+// has an ID even if prepare fails.
 func (f *Front) prepare(w http.ResponseWriter, r *http.Request) (*call, error) {
 	c := &call{id: uuid.NewString()}
 	w.Header().Set(proxy.HeaderRequestID, c.id)
@@ -178,13 +178,13 @@
 			"send a smaller body or ask the operators to raise limits.max_body_bytes", "the body is over the limit of %d bytes", limit)
 	}
 	if err != nil {
-		return nil, apierr.New(apierr.Invalid, apierr.ReasonMalformed, "send the whole body", "the body ended early: %v", err)
+		return nil, apierr.New(apierr.Invalid, apierr.ReasonMalformed, "send the complete body", "reading the request body failed: %v", err)
 	}
 	return body, nil
 }
 
-// completion is what the gate reads of an OpenAI request; the rest passes
-// through unread.
+// completion is the part of an OpenAI request that the gate reads. The rest is
+// forwarded unread.
 type completion struct {
 	Model  string `json:"model"`
 	Stream bool   `json:"stream"`
@@ -198,12 +198,12 @@
 	model, found := c.policy.Model(parsed.Model)
 	if !found {
 		return team.Model{}, false, apierr.New(apierr.NotFound, apierr.ReasonUnknownModel,
-			"name a model of the team's template", "team %s has no model %q", c.policy.Team, parsed.Model)
+			"use a model of the team's template", "team %s has no model %q", c.policy.Team, parsed.Model)
 	}
 	return model, parsed.Stream, nil
 }
 
-// deadlineOf reads the caller's deadline, by default and at most the policy's.
+// deadlineOf parses the caller's deadline, with the policy's default and maximum.
 func deadlineOf(text string, limits *team.OnlineLimits, now time.Time) (time.Time, error) {
 	if text == "" {
 		return now.Add(limits.Deadline), nil
@@ -211,7 +211,7 @@
 	deadline, err := parseDeadline(text, now)
 	if err != nil {
 		return time.Time{}, apierr.New(apierr.Invalid, apierr.ReasonBadDeadline,
-			"write milliseconds, a duration such as 30s, or RFC 3339", "the deadline %q is none of these", text)
+			"send milliseconds, a duration such as 30s, or a time in RFC 3339", "the deadline %q cannot be parsed", text)
 	}
 	if !deadline.After(now) {
 		return time.Time{}, apierr.New(apierr.Deadline, apierr.ReasonPastDeadline,
@@ -241,15 +241,15 @@
 	}
 }
 
-// refuse gives the final answer of a request that is not served.
+// refuse answers a request with an error.
 func (f *Front) refuse(w http.ResponseWriter, r *http.Request, c *call, err error) {
-	known := apierr.From(err)
-	f.metrics.Refused(known.Reason)
+	refusal := apierr.From(err)
+	f.metrics.Refused(refusal.Reason)
 	teamName := ""
 	if c.policy != nil {
 		teamName = c.policy.Team
 	}
 	f.log.Info("request refused", telemetry.RequestID(c.id), telemetry.Team(teamName),
-		telemetry.Reason(string(known.Reason)), zap.String("path", strings.TrimSuffix(r.URL.Path, "/")))
-	apierr.WriteHTTP(w, known)
+		telemetry.Reason(string(refusal.Reason)), zap.String("path", strings.TrimSuffix(r.URL.Path, "/")))
+	apierr.WriteHTTP(w, refusal)
 }
--- a/internal/gate/patience.go
+++ b/internal/gate/patience.go
@@ -6,84 +6,86 @@
 )
 
 const (
-	// timeoutStep groups what callers say that they wait. First attempts differ by
-	// the time that a connection takes.
+	// timeoutStep is the width of the bins of callers' timeouts. The timeouts of first
+	// tries differ by the time that their connection takes.
 	timeoutStep = 50 * time.Millisecond
-	// maxTimeoutSamples is how many of a route's requests are remembered. Before
-	// patienceEnough are, the route's own timeout counts as a caller's patience too:
-	// after a stop of a whole site nearly all who come first come again, and say
-	// much the same.
+	// maxTimeoutSamples is the number of recent requests kept for each route. Below
+	// minTimeoutSamples, the route's own timeout is used as a lower bound: after a full
+	// restart of a site, nearly all of the first requests are retries with similar
+	// remaining timeouts.
 	maxTimeoutSamples = 64
 	minTimeoutSamples = 16
-	// maxEstimatedRoutes bounds the routes that are remembered. Routes come and go with
-	// changes of the configuration, hundreds a day; beyond it all is learned anew.
+	// maxEstimatedRoutes limits the number of routes with samples. Configuration
+	// changes add and remove hundreds of routes a day. At the limit all samples are
+	// dropped.
 	maxEstimatedRoutes = 1024
-	// minTimeoutShare of the requests must agree. A caller that comes again names what
-	// is left of its time, which differs from caller to caller; one caller in 25 or
-	// so has far more patience than the others.
+	// minTimeoutShare is the share of the samples that a bin needs to count. Retries
+	// send the rest of their timeout, which varies, and about one caller in 25 has a
+	// much longer timeout than the others.
 	minTimeoutShare = 0.1
 )
 
-// waitEstimator learns how long the callers of a route wait when they begin to try:
-// the longest time that many of them give. A request that allows less comes again, and
-// the difference is what its caller has waited. It is safe for concurrent use.
+// waitEstimator estimates how long a caller has been retrying. It learns the initial
+// timeout of a route's callers, which is the longest timeout that many of them send. A
+// shorter one is taken as the rest of it, after the difference was spent on earlier
+// tries. It is safe for concurrent use.
 type waitEstimator struct {
 	mu     sync.Mutex
 	routes map[string]*routeWaits
 }
 
 type routeWaits struct {
-	recent []int // in steps, a ring of patienceMemory
+	recent []int // in steps; a ring of maxTimeoutSamples
 	next   int
 	counts map[int]int
 }
 
 func newWaitEstimator() *waitEstimator { return &waitEstimator{routes: make(map[string]*routeWaits)} }
 
-// timeWaited gives how long a caller has been trying that waits for left from now on,
-// and remembers it. The route lets its callers wait for timeout.
-func (p *waitEstimator) timeWaited(route string, left, timeout time.Duration) time.Duration {
+// timeWaited returns how long a caller whose remaining timeout is left has been trying,
+// and adds left to the route's samples. timeout is the timeout of the route.
+func (w *waitEstimator) timeWaited(route string, left, timeout time.Duration) time.Duration {
 	if left <= 0 {
 		return 0
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	known := p.routes[route]
-	if known == nil {
-		if len(p.routes) >= maxEstimatedRoutes {
-			clear(p.routes)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	waits := w.routes[route]
+	if waits == nil {
+		if len(w.routes) >= maxEstimatedRoutes {
+			clear(w.routes)
 		}
-		known = &routeWaits{counts: make(map[int]int)}
-		p.routes[route] = known
+		waits = &routeWaits{counts: make(map[int]int)}
+		w.routes[route] = waits
 	}
-	known.observe(int((left + timeoutStep/2) / timeoutStep))
-	usual := time.Duration(known.usual()) * timeoutStep
-	if len(known.recent) < minTimeoutSamples {
+	waits.observe(int((left + timeoutStep/2) / timeoutStep))
+	usual := time.Duration(waits.usual()) * timeoutStep
+	if len(waits.recent) < minTimeoutSamples {
 		usual = max(usual, timeout)
 	}
 	return max(0, usual-left)
 }
 
-func (p *routeWaits) observe(steps int) {
-	p.counts[steps]++
-	if len(p.recent) < maxTimeoutSamples {
-		p.recent = append(p.recent, steps)
+func (w *routeWaits) observe(steps int) {
+	w.counts[steps]++
+	if len(w.recent) < maxTimeoutSamples {
+		w.recent = append(w.recent, steps)
 		return
 	}
-	oldest := p.recent[p.next]
-	p.counts[oldest]--
-	if p.counts[oldest] == 0 {
-		delete(p.counts, oldest)
+	oldest := w.recent[w.next]
+	w.counts[oldest]--
+	if w.counts[oldest] == 0 {
+		delete(w.counts, oldest)
 	}
-	p.recent[p.next] = steps
-	p.next = (p.next + 1) % maxTimeoutSamples
+	w.recent[w.next] = steps
+	w.next = (w.next + 1) % maxTimeoutSamples
 }
 
-// usual gives the longest time, in steps, that many of the recent requests gave.
-func (p *routeWaits) usual() int {
+// usual returns the longest timeout, in steps, that many recent requests sent.
+func (w *routeWaits) usual() int {
 	longest := 0
-	for steps, count := range p.counts {
-		if float64(count) >= minTimeoutShare*float64(len(p.recent)) {
+	for steps, count := range w.counts {
+		if float64(count) >= minTimeoutShare*float64(len(w.recent)) {
 			longest = max(longest, steps)
 		}
 	}
--- a/internal/gate/patience_test.go
+++ b/internal/gate/patience_test.go
@@ -6,61 +6,61 @@
 	"time"
 )
 
-// All gates of a site were stopped. Callers that come again after a second and
-// callers that have just come look alike but for what they say that they wait;
-// taken alike, the new ones wait behind the old and are all late.
+// After a restart of all gates, callers that retry after a second and new callers
+// differ only in the timeout that they send. Guards against treating them alike, which
+// queues the new ones behind the old so that all of them miss their targets.
 func TestPatienceTellsCallersThatComeAgain(t *testing.T) {
 	const timeout = 5 * time.Second
-	p := newWaitEstimator()
+	w := newWaitEstimator()
 	expect := func(left, least, most time.Duration) {
 		t.Helper()
-		if waited := p.timeWaited("r", left, timeout); waited < least || waited > most {
-			t.Errorf("a caller with %s left is said to have waited %s", left, waited)
+		if waited := w.timeWaited("r", left, timeout); waited < least || waited > most {
+			t.Errorf("a caller with %s left is estimated to have waited %s", left, waited)
 		}
 	}
-	for range 12 { // nearly all who come first come again
+	for range 12 { // nearly all of the first requests are retries
 		expect(3950*time.Millisecond, 1000*time.Millisecond, 1100*time.Millisecond)
 	}
 	for range 8 {
 		expect(4990*time.Millisecond, 0, 20*time.Millisecond)
 	}
 	expect(3700*time.Millisecond, 1250*time.Millisecond, 1350*time.Millisecond)
-	expect(9*time.Second, 0, 0) // one with more patience than the others
+	expect(9*time.Second, 0, 0) // a caller with a longer timeout than the others
 	expect(4990*time.Millisecond, 0, 20*time.Millisecond)
-	expect(0, 0, 0) // names no time
+	expect(0, 0, 0) // sends no timeout
 }
 
-// The operator lets callers wait for much longer than they do, or for less. Once
-// enough of them have come, only what they say counts.
+// The route's timeout is much longer or shorter than those of its callers. With enough
+// samples, only the callers' timeouts count.
 func TestPatienceFollowsWhatCallersSay(t *testing.T) {
 	for _, timeout := range []time.Duration{time.Second, 15 * time.Second} {
-		p := newWaitEstimator()
+		w := newWaitEstimator()
 		for range maxTimeoutSamples {
-			p.timeWaited("r", 5*time.Second, timeout)
+			w.timeWaited("r", 5*time.Second, timeout)
 		}
-		if waited := p.timeWaited("r", 5*time.Second, timeout); waited != 0 {
-			t.Errorf("timeout %s: a caller that has just come is said to have waited %s", timeout, waited)
+		if waited := w.timeWaited("r", 5*time.Second, timeout); waited != 0 {
+			t.Errorf("timeout %s: a new caller is estimated to have waited %s", timeout, waited)
 		}
 		for range maxTimeoutSamples {
-			p.timeWaited("r", 2*time.Second, timeout)
+			w.timeWaited("r", 2*time.Second, timeout)
 		}
-		if waited := p.timeWaited("r", time.Second, timeout); waited != time.Second {
+		if waited := w.timeWaited("r", time.Second, timeout); waited != time.Second {
 			t.Errorf("timeout %s: waited %s of 2 s", timeout, waited)
 		}
-		if counts := p.routes["r"].counts; len(counts) > 2 {
-			t.Errorf("forgotten values stay: %v", counts)
+		if counts := w.routes["r"].counts; len(counts) > 2 {
+			t.Errorf("counts of dropped samples remain: %v", counts)
 		}
 	}
 }
 
-// Operators change routes all day, under new names each time. What is remembered of
-// them must not grow with that.
+// Guards against memory that grows with each new route name while operators keep
+// changing routes.
 func TestPatienceRemembersABoundedNumberOfRoutes(t *testing.T) {
-	p := newWaitEstimator()
+	w := newWaitEstimator()
 	for i := range 3 * maxEstimatedRoutes {
-		p.timeWaited(fmt.Sprint("r-", i), time.Second, time.Second)
+		w.timeWaited(fmt.Sprint("r-", i), time.Second, time.Second)
 	}
-	if len(p.routes) > maxEstimatedRoutes {
-		t.Errorf("%d routes are remembered", len(p.routes))
+	if len(w.routes) > maxEstimatedRoutes {
+		t.Errorf("samples of %d routes are kept", len(w.routes))
 	}
 }
--- a/internal/gate/routed.go
+++ b/internal/gate/routed.go
@@ -15,25 +15,25 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// Reasons of refused requests to routes.
+// Reasons for refusing requests to routes.
 const (
 	ReasonNoRoute apierr.Reason = "no_route"
-	// ReasonNoRouteStale is of a gate that does not know whether the route is new.
+	// ReasonNoRouteStale means that the gate cannot tell whether the route is new.
 	ReasonNoRouteStale apierr.Reason = "no_route_configuration_stale"
 )
 
-// RouteSource gives the routes that the gate serves by.
+// RouteSource provides the routes by which the gate serves requests.
 type RouteSource interface {
 	Routes() *routes.Matcher
 	Await(ctx context.Context) // returns when the first routes are known, or ctx has ended
 	Age() time.Duration        // since they were last confirmed
-	// Confirm returns nil once the routes are those that were in force when it was
-	// called, or newer ones.
+	// Confirm returns nil once the routes are at least as new as those in force when
+	// it was called.
 	Confirm(ctx context.Context) error
 	Stale() bool // whether they may be out of date
 }
 
-// Routed serves callers' requests by the operators' routes.
+// RouteHandler serves callers' requests according to the operators' routes.
 type Routed struct {
 	source   RouteSource
 	router   *proxy.Router
@@ -43,18 +43,18 @@
 	timeouts *waitEstimator
 }
 
-// NewRouted makes a Routed.
+// NewRouteHandler creates a RouteHandler.
 func NewRouted(source RouteSource, router *proxy.Router, credit Credit, metrics Metrics, log *zap.Logger) *Routed {
 	return &Routed{source: source, router: router, credit: credit, metrics: metrics, log: log, timeouts: newWaitEstimator()}
 }
 
-// Found is the route of a request with the document that has it.
+// MatchedRoute is the route of a request, with the version of the routes it is from.
 type Found struct {
 	*routes.Route
 	Matcher *routes.Matcher
 }
 
-// canMove says whether the service's engines can stop a run and go on with it.
+// canMove reports whether the service's engines can stop a run and continue it later.
 func (f Found) canMove(service string) bool {
 	for _, s := range f.Matcher.Document().Services {
 		if s.Name == service {
@@ -64,11 +64,11 @@
 	return false
 }
 
-// Lookup finds the route of a request.
+// Lookup returns the route of a request.
 //
-// A gate that has no routes yet, or has not heard from the control VMs for a
-// while, cannot know that there is none: it says that it cannot serve the
-// request, so that the caller asks another gate.
+// A gate that has no routes yet, or has lost contact to the control VMs, cannot know
+// that there is no route. It then answers that it is unavailable, so that the caller
+// asks another gate.
 func (f *Routed) Lookup(ctx context.Context, requestID, host, path string) (Found, *apierr.Error) {
 	matcher := f.awaitRoutes(ctx)
 	if found := matcher.Match(host, path); found != nil {
@@ -77,14 +77,14 @@
 	var refusal *apierr.Error
 	switch {
 	case matcher.Version() == 0:
-		refusal = apierr.New(apierr.Unavailable, ReasonNoConfig, "use another gate or come back",
-			"this gate has no routes yet").WithRetryAfter(firstRoutesRetryAfter)
+		refusal = apierr.New(apierr.Unavailable, ReasonNoConfig, "use another gate or retry later",
+			"this gate has not received any routes yet").WithRetryAfter(firstRoutesRetryAfter)
 	case f.source.Stale():
-		refusal = apierr.New(apierr.Unavailable, ReasonNoRouteStale, "use another gate or come back",
-			"no route of version %d fits, and this gate may not have the newest", matcher.Version()).WithRetryAfter(configRetryInterval)
+		refusal = apierr.New(apierr.Unavailable, ReasonNoRouteStale, "use another gate or retry later",
+			"no route in version %d matches the request, and this gate may not have the newest version", matcher.Version()).WithRetryAfter(configRetryInterval)
 	default:
-		refusal = apierr.New(apierr.NotFound, ReasonNoRoute, "ask for a host and path of the routes in force, or have a route for it put in force",
-			"no route of version %d fits %s%s", matcher.Version(), host, path)
+		refusal = apierr.New(apierr.NotFound, ReasonNoRoute, "use a host and path of the current routes, or ask the operators to add a route",
+			"no route in version %d matches %s%s", matcher.Version(), host, path)
 	}
 	f.metrics.Refused(refusal.Reason)
 	f.log.Info("request refused", telemetry.RequestID(requestID), telemetry.Reason(string(refusal.Reason)),
@@ -93,19 +93,17 @@
 }
 
 const (
-	// firstRoutesWait is how long a request waits at a gate that has just started
-	// for the first routes. Callers hold its address from before and come at once;
-	// the routes come within an election and a call.
+	// firstRoutesWait is how long a request waits for the first routes of a gate that
+	// has just started. Callers that still have its address send requests at once; the
+	// routes arrive within the time of an election and a call.
 	firstRoutesWait = time.Second
-	// firstRoutesRetryAfter is when to come back if that was not enough.
+	// firstRoutesRetryAfter is the Retry-After if that was not enough.
 	firstRoutesRetryAfter = 300 * time.Millisecond
 )
 
-// awaitRoutes gives the routes; it waits for the first ones.
-//
-// Failure guarded against: all processes of a site were stopped and are back at
-// their addresses. Refused, the callers would come back together after their
-// answers are worth little, though routes and replicas are known a moment later.
+// awaitRoutes returns the routes and waits for the first ones. Without the wait, all
+// callers of a site that has just restarted would be refused and would retry together,
+// past their targets, although routes and replicas are known a moment later.
 func (f *Routed) awaitRoutes(ctx context.Context) *routes.Matcher {
 	if matcher := f.source.Routes(); matcher.Version() > 0 {
 		return matcher
@@ -116,21 +114,21 @@
 	return f.source.Routes()
 }
 
-// RoutedRequest is a caller's request as its protocol was read.
+// RoutedRequest is a caller's request, as parsed from its protocol.
 type RoutedRequest struct {
 	ID          string
-	Fingerprint upstream.Fingerprint // of what an upstream would run
+	Fingerprint upstream.Fingerprint // of the content that an upstream would run
 	Prefix      uint64               // hash of the prompt's start; 0: no affinity
-	// Patience is how long the caller waits; 0: as long as the route allows.
+	// CallerTimeout is how long the caller waits; 0: as long as the route allows.
 	Patience time.Duration
 	Arrived  time.Time
-	Team     routes.Team // that sends it; empty where callers show no keys
+	Team     routes.Team // the sender; empty if the routes require no keys
 	Protocol proxy.Protocol
 }
 
-// usefulUntil is when the answer must begin to be of full use: the route's target
-// latency after the caller began to try. Waited is how long before this request that
-// was. Zero if the route has no target.
+// usefulUntil returns the time by which the answer must start to meet the route's
+// target latency, which counts from the caller's first try, waited before this request.
+// It is zero if the route has no target.
 func usefulUntil(found Found, r *RoutedRequest, waited time.Duration) time.Time {
 	if found.TargetLatency <= 0 {
 		return time.Time{}
@@ -138,7 +136,7 @@
 	return r.Arrived.Add(found.TargetLatency - waited)
 }
 
-// priorityOf gives the priority of a team's requests; its own goes before the route's.
+// priorityOf returns the priority of the team, or of the route without a team.
 func priorityOf(found Found, team *routes.Team) int {
 	if team.Name != "" {
 		return team.Priority
@@ -146,19 +144,19 @@
 	return found.Priority
 }
 
-// Serve answers a request to a route that is not for jobs.
+// Serve serves a request to a route that is not for batch jobs.
 func (f *Routed) Serve(ctx context.Context, caller proxy.Caller, found Found, r *RoutedRequest) {
 	longest := found.Timeout
 	if r.Patience > 0 {
 		longest = min(longest, r.Patience)
 	}
 	waited := f.timeouts.timeWaited(found.Name, r.Patience, found.Timeout)
-	taken := newCreditRequest(found, r, longest, waited)
-	if refusal := f.credit.Take(ctx, taken); refusal != nil {
+	creditRequest := newCreditRequest(found, r, longest, waited)
+	if refusal := f.credit.Take(ctx, creditRequest); refusal != nil {
 		caller.Refuse(refusal)
 		return
 	}
-	caller = &creditedCaller{Caller: caller, credit: f.credit, request: taken}
+	caller = &creditedCaller{Caller: caller, credit: f.credit, request: creditRequest}
 	service := found.Pick(rand.Float64(), f.router.Available)
 	f.log.Info("request routed", telemetry.RequestID(r.ID), telemetry.Team(r.Team.Name), zap.String("route", found.Name), zap.String("service", service),
 		zap.Uint64("routes", found.Matcher.Version()), zap.Duration("routes_age", f.source.Age()), zap.Duration("limit", longest),
--- a/internal/gate/routed_test.go
+++ b/internal/gate/routed_test.go
@@ -14,14 +14,14 @@
 	"slateway.example/slateway/internal/telemetry"
 )
 
-// source gives routes once they have come.
+// source is a RouteSource that provides routes once they are published.
 type source struct {
 	matcher   atomic.Pointer[routes.Matcher]
 	published chan struct{}
 	stale     bool
-	// unconfirmed is the answer to the question whether the routes are the newest.
+	// unconfirmed is returned by Confirm.
 	unconfirmed error
-	// confirming is called with the question, before its answer.
+	// confirming is called by Confirm before it returns.
 	confirming func()
 }
 
@@ -61,9 +61,8 @@
 	return gate.NewRouted(s, nil, nil, metrics, zap.NewNop()), metrics
 }
 
-// All processes of a site were stopped and are back; callers come to the
-// addresses that they hold, a moment before the gates know any route. They are
-// served once the routes are here, not sent away.
+// Guards against the refusal of all callers after a full restart of a site: they send
+// requests to the addresses they have, a moment before the gates have any routes.
 func TestRequestsWaitForTheFirstRoutes(t *testing.T) {
 	s := newSource()
 	front, _ := newRouted(s)
@@ -77,8 +76,8 @@
 	}
 }
 
-// No control VM can be reached. The caller must learn soon that another gate may
-// know more, and when to come back.
+// Guards against requests that wait for long while no control VM can be reached. The
+// caller must soon be told to use another gate and when to retry.
 func TestRequestsDoNotWaitForRoutesForLong(t *testing.T) {
 	front, metrics := newRouted(newSource())
 	began := time.Now()
@@ -90,12 +89,12 @@
 		t.Fatalf("%+v", refusal)
 	}
 	if metrics.Value(telemetry.RefusedPrefix+string(gate.ReasonNoConfig)) != 1 {
-		t.Error("not counted")
+		t.Error("the refusal is not counted")
 	}
 }
 
-// A route was added while this gate was cut off. Told that there is none, the
-// caller would give up for good.
+// Guards against the final refusal of a request to a route that was added while this
+// gate was partitioned.
 func TestAStaleGateDoesNotDenyARoute(t *testing.T) {
 	s := newSource()
 	s.publishRoutes()
@@ -105,6 +104,6 @@
 	}
 	s.stale = true
 	if _, refusal := front.Lookup(t.Context(), "r1", "news.example", "/new/x"); refusal == nil || refusal.Kind != apierr.Unavailable {
-		t.Fatalf("cut off: %+v", refusal)
+		t.Fatalf("partitioned: %+v", refusal)
 	}
 }
