--- a/internal/gate/proxy/gates_test.go
+++ b/internal/gate/proxy/gates_test.go
@@ -32,10 +32,10 @@
 				to, err := strconv.Atoi(gate[len("gate-"):])
 				return routers[to].Yield(u), err
 			},
-			Spread: func(_ context.Context, service string, strikes []upstream.Strike) {
+			Spread: func(_ context.Context, service string, crashes []upstream.Strike) {
 				for other, r := range routers {
 					if other != i {
-						r.Strike(service, strikes)
+						r.Strike(service, crashes)
 					}
 				}
 			},
--- a/internal/gate/proxy/options.go
+++ b/internal/gate/proxy/options.go
@@ -72,7 +72,7 @@
 	SendUsage SendUsage
 	// BroadcastCrashes sends crash records to the live gates. It returns when they
 	// have received them or ctx has ended.
-	Spread func(ctx context.Context, service string, strikes []upstream.Strike)
+	Spread func(ctx context.Context, service string, crashes []upstream.Strike)
 
 	// Probe checks whether the process at an address is alive; nil: by requesting
 	// PathLoad.
--- a/internal/gate/proxy/router.go
+++ b/internal/gate/proxy/router.go
@@ -158,9 +158,9 @@
 }
 
 // ApplyOwnerLoad applies the batch load that a replica's owner gate reports.
-func (r *Router) Fed(service string, feeding upstream.Feeding) {
+func (r *Router) Fed(service string, ownerLoad upstream.Feeding) {
 	if s := r.findShard(service); s != nil {
-		s.step(route.Fed{Feeding: feeding})
+		s.step(route.Fed{Feeding: ownerLoad})
 	}
 }
 
@@ -172,8 +172,8 @@
 }
 
 // RecordCrashes applies crash records that another gate has broadcast.
-func (r *Router) Strike(service string, strikes []upstream.Strike) {
-	r.findOrAddShard(service).step(route.Struck{Strikes: strikes})
+func (r *Router) Strike(service string, crashes []upstream.Strike) {
+	r.findOrAddShard(service).step(route.Struck{Strikes: crashes})
 }
 
 // Cursor holds the version of each service up to which a peer has received changes.
--- a/internal/gate/proxy/shard.go
+++ b/internal/gate/proxy/shard.go
@@ -133,13 +133,13 @@
 	return done
 }()
 
-func (s *shard) broadcastCrashes(strikes []upstream.Strike) chan struct{} {
+func (s *shard) broadcastCrashes(crashes []upstream.Strike) chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		ctx, cancel := context.WithTimeout(context.Background(), s.router.options.BroadcastTimeout)
 		defer cancel()
-		s.router.options.Spread(ctx, s.service, strikes)
+		s.router.options.Spread(ctx, s.service, crashes)
 	}()
 	return done
 }
