--- a/internal/gate/batch/renewal.go
+++ b/internal/gate/batch/renewal.go
@@ -11,11 +11,11 @@
 	"slateway.example/slateway/internal/job"
 )
 
-// heartbeats renews the session and stops the items of jobs that have ended.
-func (r *Runner) heartbeats(ctx context.Context) {
+// heartbeatLoop renews the session periodically and stops the items of ended jobs.
+func (r *Runner) heartbeatLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.heartbeat(ctx)
-		pause(ctx, r.options.Heartbeat)
+		sleep(ctx, r.options.Heartbeat)
 	}
 }
 
@@ -28,8 +28,8 @@
 	case err == nil:
 		r.fence.renew(sent)
 	case apierr.ReasonOf(err) == job.ReasonUnknownSession:
-		r.options.Log.Warn("batch session not renewed", zap.Error(err))
-		r.fence.close()
+		r.options.Log.Warn("batch session ended by the keepers, stopping its items", zap.Error(err))
+		r.fence.invalidate()
 		r.stopItems()
 	case ctx.Err() == nil:
 		r.options.Log.Warn("batch session not renewed", zap.Error(err))
@@ -47,30 +47,30 @@
 	}
 }
 
-// watchFence stops the items once the session has gone without a renewal for
-// too long.
+// watchFence stops the items once the session has not been renewed in time.
 func (r *Runner) watchFence(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause(ctx, r.options.Lifetime/fenceLooks)
-		if !r.holdsItems() {
+		sleep(ctx, r.options.Lifetime/fenceChecks)
+		if !r.leaseValid() {
 			r.stopItems()
 		}
 	}
 }
 
-// holdsItems reports whether the gate may run items now.
-func (r *Runner) holdsItems() bool { return r.fence.open(time.Now()) }
+// leaseValid reports whether the gate may run its leased items now.
+func (r *Runner) leaseValid() bool { return r.fence.valid(time.Now()) }
 
-// heldItem is asked right before each attempt of an item.
-func (r *Runner) heldItem() *apierr.Error {
-	if r.holdsItems() {
+// checkLease returns an error if the gate may no longer run its leased items. It is
+// called right before each attempt.
+func (r *Runner) checkLease() *apierr.Error {
+	if r.leaseValid() {
 		return nil
 	}
-	return leaseOut()
+	return leaseExpired()
 }
 
-// stopItems stops all items that run. Each is given back with what there is of
-// its answer, which the keepers use if it is still leased to this gate.
+// stopItems stops all running items. Each is returned with the part of its answer
+// received, which the keepers store if it is still leased to this gate.
 func (r *Runner) stopItems() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,8 +80,8 @@
 	stopped := 0
 	for id, current := range r.running {
 		stopped += current.items
-		current.cancel(leaseOut())
-		// An item leased later must not begin with a context that has ended.
+		current.cancel(leaseExpired())
+		// An item leased later must not start with a cancelled context.
 		delete(r.running, id)
 	}
 	r.options.Log.Warn("batch items stopped, the session was not renewed in time",
@@ -90,5 +90,5 @@
 
 func stoppedByFence(ctx context.Context) bool {
 	var cause *apierr.Error
-	return errors.As(context.Cause(ctx), &cause) && cause.Reason == ReasonLeaseOut
+	return errors.As(context.Cause(ctx), &cause) && cause.Reason == ReasonItemLeaseExpired
 }
--- a/internal/gate/routed_test.go
+++ b/internal/gate/routed_test.go
@@ -14,19 +14,19 @@
 	"slateway.example/slateway/internal/telemetry"
 )
 
-// source gives routes once they have come.
+// source is a RouteSource that provides routes once they are published.
 type source struct {
-	matcher atomic.Pointer[routes.Matcher]
-	came    chan struct{}
-	stale   bool
-	// unconfirmed is the answer to the question whether the routes are the newest.
+	matcher   atomic.Pointer[routes.Matcher]
+	published chan struct{}
+	stale     bool
+	// unconfirmed is returned by Confirm.
 	unconfirmed error
-	// confirming is called with the question, before its answer.
+	// confirming is called by Confirm before it returns.
 	confirming func()
 }
 
 func newSource() *source {
-	s := &source{came: make(chan struct{})}
+	s := &source{published: make(chan struct{})}
 	s.matcher.Store(routes.NewMatcher(&routes.Document{}))
 	return s
 }
@@ -43,33 +43,32 @@
 
 func (s *source) Await(ctx context.Context) {
 	select {
-	case <-s.came:
+	case <-s.published:
 	case <-ctx.Done():
 	}
 }
 
-func (s *source) come() {
+func (s *source) publishRoutes() {
 	s.matcher.Store(routes.NewMatcher(&routes.Document{Version: 3, Routes: []routes.Route{{
 		Name: "headline", Host: "news.example", Prefix: "/a/", Kind: routes.Streaming, Timeout: time.Second,
 		Split: []routes.Share{{Service: "wordroom", Weight: 1}},
 	}}}))
-	close(s.came)
+	close(s.published)
 }
 
-func routed(s *source) (*gate.Routed, *telemetry.Metrics) {
+func newRouted(s *source) (*gate.Routed, *telemetry.Metrics) {
 	metrics := telemetry.NewMetrics()
 	return gate.NewRouted(s, nil, nil, metrics, zap.NewNop()), metrics
 }
 
-// All processes of a site were stopped and are back; callers come to the
-// addresses that they hold, a moment before the gates know any route. They are
-// served once the routes are here, not sent away.
+// Guards against the refusal of all callers after a full restart of a site: they send
+// requests to the addresses they have, a moment before the gates have any routes.
 func TestRequestsWaitForTheFirstRoutes(t *testing.T) {
 	s := newSource()
-	front, _ := routed(s)
+	front, _ := newRouted(s)
 	go func() {
 		time.Sleep(50 * time.Millisecond)
-		s.come()
+		s.publishRoutes()
 	}()
 	found, refusal := front.Lookup(t.Context(), "r1", "news.example", "/a/x")
 	if refusal != nil || found.Name != "headline" {
@@ -77,10 +76,10 @@
 	}
 }
 
-// No control VM can be reached. The caller must learn soon that another gate may
-// know more, and when to come back.
+// Guards against requests that wait for long while no control VM can be reached. The
+// caller must soon be told to use another gate and when to retry.
 func TestRequestsDoNotWaitForRoutesForLong(t *testing.T) {
-	front, metrics := routed(newSource())
+	front, metrics := newRouted(newSource())
 	began := time.Now()
 	_, refusal := front.Lookup(t.Context(), "r1", "news.example", "/a/x")
 	if took := time.Since(began); took > 3*time.Second {
@@ -90,21 +89,21 @@
 		t.Fatalf("%+v", refusal)
 	}
 	if metrics.Value(telemetry.RefusedPrefix+string(gate.ReasonNoConfig)) != 1 {
-		t.Error("not counted")
+		t.Error("the refusal is not counted")
 	}
 }
 
-// A route was added while this gate was cut off. Told that there is none, the
-// caller would give up for good.
+// Guards against the final refusal of a request to a route that was added while this
+// gate was partitioned.
 func TestAStaleGateDoesNotDenyARoute(t *testing.T) {
 	s := newSource()
-	s.come()
-	front, _ := routed(s)
+	s.publishRoutes()
+	front, _ := newRouted(s)
 	if _, refusal := front.Lookup(t.Context(), "r1", "news.example", "/new/x"); refusal == nil || refusal.Kind != apierr.NotFound {
 		t.Fatalf("in contact: %+v", refusal)
 	}
 	s.stale = true
 	if _, refusal := front.Lookup(t.Context(), "r1", "news.example", "/new/x"); refusal == nil || refusal.Kind != apierr.Unavailable {
-		t.Fatalf("cut off: %+v", refusal)
+		t.Fatalf("partitioned: %+v", refusal)
 	}
 }
