--- a/internal/daemon/gate.go
+++ b/internal/daemon/gate.go
@@ -66,11 +66,11 @@
 			MaxQueue:      s.Limits.MaxQueue,
 			TokenTimeout:  s.Timeouts.StreamIdle,
 		},
-		Metrics:        d.metrics,
-		SendUsage:      g.exchange.SendUsage,
-		Spread:         g.exchange.SpreadCrashReports,
-		DialTimeout:    s.Timeouts.Dial,
-		DefaultTimeout: s.Timeouts.Request,
+		Metrics:          d.metrics,
+		SendReports:      g.exchange.SendUsage,
+		BroadcastCrashes: g.exchange.SpreadCrashReports,
+		DialTimeout:      s.Timeouts.Dial,
+		DefaultTimeout:   s.Timeouts.Request,
 	})
 	g.exchange.Attach(g.router)
 	session := client.NewSession(job.Run{VM: s.VM.Name, Started: time.Now().UnixMilli()})
--- a/internal/daemon/site.go
+++ b/internal/daemon/site.go
@@ -22,7 +22,7 @@
 // Edge is how a site of control VMs speaks to those outside: its handlers decode
 // their messages, call the product and encode its answers.
 type Edge struct {
-	Callers      func(routed *gate.Routed, jobs *gate.Jobs) http.Handler
+	Callers      func(routed *gate.RouteHandler, jobs *gate.Jobs) http.Handler
 	Readiness    func(ready func() bool) http.Handler
 	Control      func(service *control.Service) http.Handler
 	Directory    func(entries Entries) http.Handler
--- a/internal/daemon/sitegate.go
+++ b/internal/daemon/sitegate.go
@@ -34,7 +34,7 @@
 	follower *follow.Follower
 	exchange *exchange.Exchange
 	router   *proxy.Router
-	routed   *gate.Routed
+	routed   *gate.RouteHandler
 	jobs     *gate.Jobs
 	entries  *gate.Entries
 	runner   *batch.Runner
@@ -102,14 +102,14 @@
 			HedgeMin:      -1,              // a second run costs more than it saves
 			ProbeAfter:    unlistedForever, // a replica is asked when all that this gate has there is quiet
 		},
-		Metrics:        site.metrics,
-		Log:            site.log.Logger,
-		SendUsage:      g.exchange.SendUsage,
-		Spread:         g.exchange.SpreadCrashReports,
-		Probe:          proxy.ProbeConnection,
-		DialTimeout:    s.Timeouts.Dial,
-		Unanswered:     s.Timeouts.Unanswered,
-		DefaultTimeout: s.Timeouts.Request,
+		Metrics:          site.metrics,
+		Log:              site.log.Logger,
+		SendReports:      g.exchange.SendUsage,
+		BroadcastCrashes: g.exchange.SpreadCrashReports,
+		Probe:            proxy.ProbeConnection,
+		DialTimeout:      s.Timeouts.Dial,
+		UnackedTimeout:   s.Timeouts.Unanswered,
+		DefaultTimeout:   s.Timeouts.Request,
 	})
 	g.exchange.Attach(g.router)
 	keepers := keeperclient.NewDynamic(site.calls, g.follower.Keepers)
@@ -123,7 +123,7 @@
 		return nil, err
 	}
 	g.credit = held
-	g.routed = gate.NewRouted(g.follower, g.router, g.credit, site.metrics, site.log.Logger)
+	g.routed = gate.NewRouteHandler(g.follower, g.router, g.credit, site.metrics, site.log.Logger)
 	g.jobs = gate.NewJobs(gate.JobsOptions{
 		Keepers: keepers, Source: g.follower, Router: g.router, Metrics: site.metrics, Log: site.log.Logger,
 		Retention: s.Batch.Retention, Timeout: jobCallTimeout, Protocol: site.edge.ItemProtocol,
--- a/internal/gate/authenticate.go
+++ b/internal/gate/authenticate.go
@@ -31,7 +31,7 @@
 //
 // Callers do not retry after the refusal of an unknown key, so the gate first confirms
 // that it has the newest routes: an operator may just have added the key.
-func (f *Routed) Authenticate(ctx context.Context, requestID, key string, anonymous bool) (routes.Team, *apierr.Error) {
+func (f *RouteHandler) Authenticate(ctx context.Context, requestID, key string, anonymous bool) (routes.Team, *apierr.Error) {
 	matcher := f.awaitRoutes(ctx)
 	if team := matcher.TeamOf(key); team != nil {
 		return *team, nil
@@ -55,7 +55,7 @@
 
 // confirmRoutes confirms that the routes are the newest. A missing key needs no
 // confirmation.
-func (f *Routed) confirmRoutes(ctx context.Context, matcher *routes.Matcher, key string) error {
+func (f *RouteHandler) confirmRoutes(ctx context.Context, matcher *routes.Matcher, key string) error {
 	if key == "" && matcher.Version() > 0 {
 		return nil
 	}
--- a/internal/gate/credited.go
+++ b/internal/gate/credited.go
@@ -25,7 +25,7 @@
 
 // newCreditRequest returns the request for a credit of the team. longest is how long the
 // caller waits from now on, and waited is how long it has been trying already.
-func newCreditRequest(found Found, r *RoutedRequest, longest, waited time.Duration) *credit.Request {
+func newCreditRequest(found MatchedRoute, r *RoutedRequest, longest, waited time.Duration) *credit.Request {
 	request := &credit.Request{
 		ID: r.ID, Team: r.Team.Name, Cap: limit.Cap{Rate: r.Team.Rate, Burst: r.Team.Burst}, Version: found.Matcher.Version(),
 	}
--- a/internal/gate/exchange/calls.go
+++ b/internal/gate/exchange/calls.go
@@ -18,8 +18,8 @@
 
 // UsageRequest reports to the gate To what another gate runs on replicas that To owns.
 type UsageRequest struct {
-	To     string        `cbor:"1,keyasint"`
-	Usages []proxy.Usage `cbor:"2,keyasint"`
+	To     string             `cbor:"1,keyasint"`
+	Usages []proxy.LoadReport `cbor:"2,keyasint"`
 }
 
 // UsageResponse returns the batch work that still runs on each replica.
@@ -50,7 +50,7 @@
 }
 
 // SendUsage sends usages to the gate that owns the replicas.
-func (e *Exchange) SendUsage(ctx context.Context, gate string, usages []proxy.Usage) ([]upstream.Feeding, error) {
+func (e *Exchange) SendUsage(ctx context.Context, gate string, usages []proxy.LoadReport) ([]upstream.Feeding, error) {
 	address, known := e.addressOf(gate)
 	if !known {
 		return nil, fmt.Errorf("no peers address known for gate %s; it is neither a member of this place nor a contact of another", gate)
@@ -63,7 +63,7 @@
 }
 
 func (e *Exchange) serveUsage(_ context.Context, request *UsageRequest) (*UsageResponse, error) {
-	return &UsageResponse{Batch: e.router.Yield(request.Usages)}, nil
+	return &UsageResponse{Batch: e.router.ApplyLoadReports(request.Usages)}, nil
 }
 
 // SpreadCrashReports sends crash reports to the gates of the own place and to one gate of
@@ -100,7 +100,7 @@
 }
 
 func (e *Exchange) serveCrashReports(ctx context.Context, request *CrashReportsRequest) (*CrashReportsResponse, error) {
-	e.router.Strike(request.Service, request.Reports)
+	e.router.RecordCrashes(request.Service, request.Reports)
 	if !request.Relay {
 		return &CrashReportsResponse{}, nil
 	}
--- a/internal/gate/exchange/rows.go
+++ b/internal/gate/exchange/rows.go
@@ -146,7 +146,7 @@
 	}
 	for _, r := range e.router.Upstreams() {
 		if count, found := batch[key{shortHash(r.Service), shortHash(string(r.Replica))}]; found {
-			e.router.Fed(r.Service, upstream.Feeding{Replica: r.Replica, Batch: count})
+			e.router.ApplyOwnerLoad(r.Service, upstream.Feeding{Replica: r.Replica, Batch: count})
 		}
 	}
 }
--- a/internal/gate/jobs.go
+++ b/internal/gate/jobs.go
@@ -75,7 +75,7 @@
 )
 
 // Submit accepts all items of a team's job, or none.
-func (j *Jobs) Submit(ctx context.Context, found Found, team, id string, items []SubmittedItem) error {
+func (j *Jobs) Submit(ctx context.Context, found MatchedRoute, team, id string, items []SubmittedItem) error {
 	if len(items) == 0 || len(items) > maxSubmittedItems {
 		return j.logRefusal("job refused", id, apierr.New(apierr.Invalid, ReasonTooManyItems, "send at least one item, or split the job",
 			"a job has 1 to %d items, not %d", maxSubmittedItems, len(items)))
@@ -94,7 +94,7 @@
 	return nil
 }
 
-func (j *Jobs) submission(found Found, named JobName, items []SubmittedItem) *job.Submission {
+func (j *Jobs) submission(found MatchedRoute, named JobName, items []SubmittedItem) *job.Submission {
 	stored := make([]job.Item, len(items))
 	tokens := make([]uint32, len(items))
 	for i, item := range items {
--- a/internal/gate/proxy/attempt.go
+++ b/internal/gate/proxy/attempt.go
@@ -26,8 +26,8 @@
 	flight    *flight
 	target    upstream.Announcement
 	resume    bool
-	memory    string // identifies the memory of the run to continue; empty: none
-	info      Try    // as passed to the Protocol
+	memory    string      // identifies the memory of the run to continue; empty: none
+	info      AttemptInfo // as passed to the Protocol
 	startedAt time.Time
 
 	ctx       context.Context
@@ -89,7 +89,7 @@
 		return
 	}
 	defer response.Body.Close()
-	verdict := a.flight.protocol.Judge(response, &a.info)
+	verdict := a.flight.protocol.InspectHead(response, &a.info)
 	if verdict.Cause != "" {
 		a.reportFailure(verdict.Cause, fmt.Errorf("status %d", response.StatusCode))
 		return
@@ -152,7 +152,7 @@
 		return route.CauseNotSent
 	case errors.As(err, &reported):
 		return route.CauseStatus
-	case errors.Is(err, ErrMalformed), errors.Is(err, errTooLong):
+	case errors.Is(err, ErrMalformedEvent), errors.Is(err, errTooLong):
 		return route.CauseMismatch
 	default:
 		return route.CauseBroken
@@ -177,12 +177,12 @@
 // prepareInfo sets the attempt's info with the point at which it resumes.
 func (a *attempt) prepareInfo() {
 	tokens, text := a.flight.resumePoint()
-	start := a.flight.protocol.Start()
+	start := a.flight.protocol.LastReceived()
 	if tokens > start && !a.resume {
 		a.flight.restart()
 		tokens, text = start, ""
 	}
-	a.info = Try{
+	a.info = AttemptInfo{
 		RequestID: a.flight.request.ID, Attempt: a.id, Target: &a.target,
 		Deadline: a.flight.request.Deadline, After: tokens, Text: text, Memory: a.memory,
 	}
@@ -269,7 +269,7 @@
 	if len(body) > limit {
 		return errTooLong
 	}
-	if isCloseDelimited(response) && !a.flight.protocol.EndsByClose() {
+	if isCloseDelimited(response) && !a.flight.protocol.AllowsCloseDelimited() {
 		return errTruncated
 	}
 	if a.flight.shard.complete(a) {
--- a/internal/gate/proxy/event.go
+++ b/internal/gate/proxy/event.go
@@ -96,8 +96,8 @@
 	errTruncated = errors.New("the stream ended before its last event")
 	// ErrMalformedEvent means that the data violates the protocol, so that the
 	// connection cannot be trusted.
-	ErrMalformed = errors.New("the stream contains an event that violates the protocol")
-	errTooLong   = errors.New("the answer exceeds the gate's buffer for one answer")
+	ErrMalformedEvent = errors.New("the stream contains an event that violates the protocol")
+	errTooLong        = errors.New("the answer exceeds the gate's buffer for one answer")
 )
 
 // eventReader reads a stream of server-sent events.
@@ -146,7 +146,7 @@
 		return e, nil
 	}
 	if err := json.Unmarshal(data, &e.chunk); err != nil {
-		return nil, ErrMalformed
+		return nil, ErrMalformedEvent
 	}
 	e.err = e.chunk.Error
 	if e.err == nil && e.chunk.cancelled() {
--- a/internal/gate/proxy/flight.go
+++ b/internal/gate/proxy/flight.go
@@ -43,7 +43,7 @@
 func newFlight(s *shard, request route.Request, p Protocol) *flight {
 	return &flight{
 		shard: s, request: request, protocol: p, started: time.Now(),
-		tokens: p.Start(), wake: make(chan struct{}, 1),
+		tokens: p.LastReceived(), wake: make(chan struct{}, 1),
 	}
 }
 
@@ -118,7 +118,7 @@
 func (f *flight) restart() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.tokens = f.protocol.Start()
+	f.tokens = f.protocol.LastReceived()
 	f.restarted = true
 	f.text.Reset()
 	f.meta = answerMeta{}
@@ -157,7 +157,7 @@
 		return nil
 	}
 	if e.Numbered && !e.Done && e.Token != f.tokens+1 {
-		return ErrMalformed
+		return ErrMalformedEvent
 	}
 	if f.text.Len()+f.pending.Len()+len(e.Raw) > f.shard.router.options.MaxAnswerBytes {
 		f.finishLocked(answerTooLong())
--- a/internal/gate/proxy/form.go
+++ b/internal/gate/proxy/form.go
@@ -133,13 +133,13 @@
 func (f *httpProtocol) Streams() bool { return f.stream }
 
 // AllowsCloseDelimited returns false, since such an answer may be truncated.
-func (f *httpProtocol) EndsByClose() bool { return false }
+func (f *httpProtocol) AllowsCloseDelimited() bool { return false }
 
 // LastReceived returns 0, since callers of this protocol cannot resume.
-func (f *httpProtocol) Start() int { return 0 }
+func (f *httpProtocol) LastReceived() int { return 0 }
 
 // Request builds the HTTP request of an attempt.
-func (f *httpProtocol) Request(ctx context.Context, try *Try) (*http.Request, error) {
+func (f *httpProtocol) Request(ctx context.Context, try *AttemptInfo) (*http.Request, error) {
 	body := f.body
 	if f.engine {
 		var err error
@@ -155,7 +155,7 @@
 		request.Header[name] = values
 	}
 	request.Header.Set(HeaderRequestID, upstreamID(try.RequestID, try.Attempt))
-	request.Header.Set(HeaderDeadline, strconv.FormatInt(try.Left().Milliseconds(), 10))
+	request.Header.Set(HeaderDeadline, strconv.FormatInt(try.TimeLeft().Milliseconds(), 10))
 	return request, nil
 }
 
@@ -168,11 +168,11 @@
 
 // InspectHead rejects answers to other requests and an engine's error statuses that
 // mean that it did not serve the request.
-func (f *httpProtocol) Judge(answer *http.Response, try *Try) Verdict {
+func (f *httpProtocol) InspectHead(answer *http.Response, try *AttemptInfo) HeadResult {
 	if echoed := answer.Header.Get(HeaderRequestID); echoed != "" && echoed != upstreamID(try.RequestID, try.Attempt) {
-		return Verdict{Cause: route.CauseMismatch}
+		return HeadResult{Cause: route.CauseMismatch}
 	}
-	verdict := Verdict{Queued: answer.Header.Get(HeaderQueued) == "1"}
+	verdict := HeadResult{Queued: answer.Header.Get(HeaderQueued) == "1"}
 	if !f.engine {
 		return verdict
 	}
--- a/internal/gate/proxy/gates_test.go
+++ b/internal/gate/proxy/gates_test.go
@@ -28,14 +28,14 @@
 		gates = append(gates, route.Gate{ID: id, Place: "glas-a"})
 		routers = append(routers, proxy.New(proxy.Options{
 			Self: id, Place: "glas-a", Route: route.Config{FirstTimeout: wait},
-			SendUsage: func(_ context.Context, gate string, u []proxy.Usage) ([]upstream.Feeding, error) {
+			SendReports: func(_ context.Context, gate string, u []proxy.LoadReport) ([]upstream.Feeding, error) {
 				to, err := strconv.Atoi(gate[len("gate-"):])
-				return routers[to].Yield(u), err
+				return routers[to].ApplyLoadReports(u), err
 			},
-			Spread: func(_ context.Context, service string, crashes []upstream.Strike) {
+			BroadcastCrashes: func(_ context.Context, service string, crashes []upstream.Strike) {
 				for other, r := range routers {
 					if other != i {
-						r.Strike(service, crashes)
+						r.RecordCrashes(service, crashes)
 					}
 				}
 			},
--- a/internal/gate/proxy/move.go
+++ b/internal/gate/proxy/move.go
@@ -39,25 +39,25 @@
 	}()
 }
 
-func (f *flight) move(o route.HandOver) (Move, error) {
+func (f *flight) move(o route.HandOver) (MoveResult, error) {
 	mover, ok := f.protocol.(Mover)
 	if !ok {
-		return Move{}, errCannotMove
+		return MoveResult{}, errCannotMove
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), moveTimeout)
 	defer cancel()
-	request, err := mover.Move(ctx, o.From, o.To)
+	request, err := mover.MoveRequest(ctx, o.From, o.To)
 	if err != nil {
-		return Move{}, err
+		return MoveResult{}, err
 	}
 	response, err := f.shard.router.transports.pool(o.From.Replica).RoundTrip(request)
 	if err != nil {
-		return Move{}, err
+		return MoveResult{}, err
 	}
 	defer response.Body.Close()
-	moved, err := mover.Moved(response, o.From)
+	moved, err := mover.ParseMoveResult(response, o.From)
 	if err != nil {
-		return Move{}, fmt.Errorf("status %d: %w", response.StatusCode, err)
+		return MoveResult{}, fmt.Errorf("status %d: %w", response.StatusCode, err)
 	}
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxProbeBytes)) // so that the connection is reused
 	return moved, nil
--- a/internal/gate/proxy/online.go
+++ b/internal/gate/proxy/online.go
@@ -209,7 +209,7 @@
 	case err != nil && d.headWritten:
 		d.flight.shard.log().Info("answer broken off", telemetry.RequestID(d.flight.request.ID), telemetry.Reason(string(err.Reason)),
 			zap.Duration("after", time.Since(d.flight.started)), zap.String("message", err.Message))
-		d.caller.Break(err)
+		d.caller.Abort(err)
 		return
 	case err != nil:
 		d.caller.Refuse(err)
@@ -217,7 +217,7 @@
 	case d.headWritten:
 		d.caller.End()
 	default:
-		d.caller.Whole(answer)
+		d.caller.Respond(answer)
 	}
 	d.metrics.Count(CountOnlineDone)
 	d.metrics.Observe(MetricAnswer, time.Since(d.flight.started))
@@ -263,7 +263,7 @@
 
 // Abort writes the error as an event, since the status line has been sent. The
 // missing last event shows that the answer is incomplete.
-func (c *openAICaller) Break(err *apierr.Error) {
+func (c *openAICaller) Abort(err *apierr.Error) {
 	_ = c.Events([]byte("data: " + string(err.JSON()) + "\n\n")) // the caller may have disconnected
 }
 
@@ -271,7 +271,7 @@
 func (c *openAICaller) Refuse(err *apierr.Error) { apierr.WriteHTTP(c.w, err) }
 
 // Respond writes an answer that is not streamed.
-func (c *openAICaller) Whole(answer *Reply) {
+func (c *openAICaller) Respond(answer *Reply) {
 	header := c.w.Header()
 	for name, values := range answer.Header {
 		header[name] = values
--- a/internal/gate/proxy/options.go
+++ b/internal/gate/proxy/options.go
@@ -69,10 +69,10 @@
 
 	// SendReports sends load reports to the owner gates of the replicas that this
 	// gate uses. It is required unless this gate is the only one.
-	SendUsage SendUsage
+	SendReports SendReports
 	// BroadcastCrashes sends crash records to the live gates. It returns when they
 	// have received them or ctx has ended.
-	Spread func(ctx context.Context, service string, crashes []upstream.Strike)
+	BroadcastCrashes func(ctx context.Context, service string, crashes []upstream.Strike)
 
 	// Probe checks whether the process at an address is alive; nil: by requesting
 	// PathLoad.
@@ -83,7 +83,7 @@
 	DialTimeout      time.Duration
 	// UnackedTimeout is how long sent bytes may remain unacknowledged by the other
 	// VM before the connection is closed; 0: the system's default of many minutes.
-	Unanswered     time.Duration
+	UnackedTimeout time.Duration
 	ProbeTimeout   time.Duration
 	MaxAnswerBytes int // limits the buffered part of an answer
 	DefaultTimeout time.Duration
@@ -118,8 +118,8 @@
 	if o.Log == nil {
 		o.Log = zap.NewNop()
 	}
-	if o.Spread == nil {
-		o.Spread = func(context.Context, string, []upstream.Strike) {}
+	if o.BroadcastCrashes == nil {
+		o.BroadcastCrashes = func(context.Context, string, []upstream.Strike) {}
 	}
 	o.Route.Self = o.Self
 	o.Route.Place = o.Place
--- a/internal/gate/proxy/protocol.go
+++ b/internal/gate/proxy/protocol.go
@@ -24,17 +24,17 @@
 	Resumable() bool
 	// LastReceived returns the number of the last event that the caller already has;
 	// 0 for a request from the start.
-	Start() int
+	LastReceived() int
 	// Request builds the HTTP request of one attempt.
-	Request(ctx context.Context, try *Try) (*http.Request, error)
+	Request(ctx context.Context, try *AttemptInfo) (*http.Request, error)
 	// InspectHead interprets the status line and headers of an answer.
-	Judge(answer *http.Response, try *Try) Verdict
+	InspectHead(answer *http.Response, try *AttemptInfo) HeadResult
 	// Events returns the events of a streamed answer, or nil if the answer is to be
 	// read whole.
 	Events(answer *http.Response) EventSource
 	// AllowsCloseDelimited reports whether an answer without a length, which ends
 	// when its connection closes, counts as complete.
-	EndsByClose() bool
+	AllowsCloseDelimited() bool
 	// Assemble builds the whole answer from a stream that is not forwarded event by
 	// event.
 	Assemble(p *Progress) (*Reply, error)
@@ -45,20 +45,20 @@
 type Mover interface {
 	// MoveRequest builds the call that asks replica from to stop the request's run
 	// and to copy its memory to replica to.
-	Move(ctx context.Context, from, to *upstream.Announcement) (*http.Request, error)
+	MoveRequest(ctx context.Context, from, to *upstream.Announcement) (*http.Request, error)
 	// ParseMoveResult reads the answer to that call.
-	Moved(answer *http.Response, from *upstream.Announcement) (Move, error)
+	ParseMoveResult(answer *http.Response, from *upstream.Announcement) (MoveResult, error)
 }
 
 // MoveResult is the result of a request to stop a run.
-type Move struct {
+type MoveResult struct {
 	Memory string // identifies the run's memory; empty: the run was not stopped
 	Copied bool   // the other replica has the memory too
 	NoRoom bool   // the other replica has no capacity; the run continues where it was
 }
 
 // AttemptInfo describes one attempt of a request to the Protocol.
-type Try struct {
+type AttemptInfo struct {
 	RequestID string
 	Attempt   route.AttemptID
 	Target    *upstream.Announcement
@@ -72,10 +72,10 @@
 }
 
 // TimeLeft returns the time until the deadline; never less than zero.
-func (t *Try) Left() time.Duration { return max(0, time.Until(t.Deadline)) }
+func (t *AttemptInfo) TimeLeft() time.Duration { return max(0, time.Until(t.Deadline)) }
 
 // HeadResult is the meaning of an answer's status line and headers.
-type Verdict struct {
+type HeadResult struct {
 	// Cause is why the answer must not reach the caller; empty if it may.
 	Cause route.FailureCause
 	// Queued reports whether the request waited for a slot at the upstream.
@@ -113,9 +113,9 @@
 	// End ends a complete streamed answer.
 	End()
 	// Abort ends a streamed answer that cannot be completed.
-	Break(err *apierr.Error)
+	Abort(err *apierr.Error)
 	// Respond sends an answer that is not streamed.
-	Whole(answer *Reply)
+	Respond(answer *Reply)
 	// Refuse answers a request with an error.
 	Refuse(err *apierr.Error)
 }
--- a/internal/gate/proxy/router.go
+++ b/internal/gate/proxy/router.go
@@ -39,7 +39,7 @@
 		stopped:    make(chan struct{}),
 		shards:     make(map[string]*shard),
 	}
-	r.reports = newReportSender(options.SendUsage, r.applyAcknowledgement)
+	r.reports = newReportSender(options.SendReports, r.applyAcknowledgement)
 	go r.tick(ctx)
 	return r
 }
@@ -158,21 +158,21 @@
 }
 
 // ApplyOwnerLoad applies the batch load that a replica's owner gate reports.
-func (r *Router) Fed(service string, ownerLoad upstream.Feeding) {
+func (r *Router) ApplyOwnerLoad(service string, ownerLoad upstream.Feeding) {
 	if s := r.findShard(service); s != nil {
 		s.step(route.Fed{Feeding: ownerLoad})
 	}
 }
 
 // applyAcknowledgement applies an owner gate's acknowledgement of a load report.
-func (r *Router) applyAcknowledgement(report Usage, acknowledged upstream.Feeding) {
+func (r *Router) applyAcknowledgement(report LoadReport, acknowledged upstream.Feeding) {
 	if s := r.findShard(report.Service); s != nil {
 		s.step(route.Fed{Feeding: acknowledged, Answers: report.Number, Told: report.Online})
 	}
 }
 
 // RecordCrashes applies crash records that another gate has broadcast.
-func (r *Router) Strike(service string, crashes []upstream.Strike) {
+func (r *Router) RecordCrashes(service string, crashes []upstream.Strike) {
 	r.findOrAddShard(service).step(route.Struck{Strikes: crashes})
 }
 
--- a/internal/gate/proxy/shard.go
+++ b/internal/gate/proxy/shard.go
@@ -115,7 +115,7 @@
 		case route.Reset:
 			s.router.transports.reset(o.Replica)
 		case route.YieldTo:
-			s.router.reports.enqueue(o.Gate, Usage{
+			s.router.reports.enqueue(o.Gate, LoadReport{
 				Service: s.service, Gate: s.router.options.Self, Replica: o.Replica, Online: o.Online, Batch: o.Batch, Number: o.Word,
 			})
 		case route.Spread:
@@ -139,7 +139,7 @@
 		defer close(done)
 		ctx, cancel := context.WithTimeout(context.Background(), s.router.options.BroadcastTimeout)
 		defer cancel()
-		s.router.options.Spread(ctx, s.service, crashes)
+		s.router.options.BroadcastCrashes(ctx, s.service, crashes)
 	}()
 	return done
 }
--- a/internal/gate/proxy/transports.go
+++ b/internal/gate/proxy/transports.go
@@ -42,7 +42,7 @@
 
 func newTransports(o Options) *transports {
 	l := &transports{
-		dialer:       sockets.Dialer(o.DialTimeout, o.Unanswered),
+		dialer:       sockets.Dialer(o.DialTimeout, o.UnackedTimeout),
 		probeTimeout: o.ProbeTimeout,
 		probeFunc:    o.Probe,
 		pools:        make(map[upstream.ReplicaID]*http.Transport),
--- a/internal/gate/proxy/usage.go
+++ b/internal/gate/proxy/usage.go
@@ -11,7 +11,7 @@
 
 // LoadReport tells the owner gate of a replica how many requests another gate runs
 // on it.
-type Usage struct {
+type LoadReport struct {
 	Service string             `json:"service"`
 	Gate    string             `json:"gate"` // the reporting gate
 	Replica upstream.ReplicaID `json:"replica"`
@@ -24,7 +24,7 @@
 // ApplyLoadReports applies another gate's load reports on replicas that this gate
 // owns. It preempts batch items whose slots are needed before it returns. Its result
 // acknowledges the reports, in their order, with the load left on each replica.
-func (r *Router) Yield(reports []Usage) []upstream.Feeding {
+func (r *Router) ApplyLoadReports(reports []LoadReport) []upstream.Feeding {
 	acknowledged := make([]upstream.Feeding, 0, len(reports))
 	for _, u := range reports {
 		acknowledged = append(acknowledged, r.applyLoadReport(u))
@@ -32,7 +32,7 @@
 	return acknowledged
 }
 
-func (r *Router) applyLoadReport(u Usage) upstream.Feeding {
+func (r *Router) applyLoadReport(u LoadReport) upstream.Feeding {
 	s := r.findShard(u.Service)
 	if s == nil {
 		return upstream.Feeding{Replica: u.Replica}
@@ -45,7 +45,7 @@
 
 // SendReports sends load reports to another gate's Router.ApplyLoadReports and
 // returns its acknowledgements.
-type SendUsage func(ctx context.Context, gate string, reports []Usage) ([]upstream.Feeding, error)
+type SendReports func(ctx context.Context, gate string, reports []LoadReport) ([]upstream.Feeding, error)
 
 // reportTimeout limits the sending of one message. After a loss, the next change or the
 // periodic refresh of package route sends the load again.
@@ -55,24 +55,24 @@
 // each. Reports that arrive meanwhile are sent in the next message, so that a busy
 // gate sends no more messages than the other gate answers.
 type reportSender struct {
-	send        SendUsage
-	acknowledge func(report Usage, acknowledged upstream.Feeding) // applies the owner gate's answer
+	send        SendReports
+	acknowledge func(report LoadReport, acknowledged upstream.Feeding) // applies the owner gate's answer
 
 	mu    sync.Mutex
 	gates map[string]*reportQueue
 }
 
 type reportQueue struct {
-	pending []Usage // the latest report on each replica
+	pending []LoadReport // the latest report on each replica
 	sending bool
 }
 
-func newReportSender(send SendUsage, acknowledge func(Usage, upstream.Feeding)) *reportSender {
+func newReportSender(send SendReports, acknowledge func(LoadReport, upstream.Feeding)) *reportSender {
 	return &reportSender{send: send, acknowledge: acknowledge, gates: make(map[string]*reportQueue)}
 }
 
 // enqueue queues a report without blocking.
-func (s *reportSender) enqueue(gate string, u Usage) {
+func (s *reportSender) enqueue(gate string, u LoadReport) {
 	if s.send == nil {
 		return
 	}
@@ -90,7 +90,7 @@
 	}
 }
 
-func (q *reportQueue) enqueue(u Usage) {
+func (q *reportQueue) enqueue(u LoadReport) {
 	for i := range q.pending {
 		if q.pending[i].Service == u.Service && q.pending[i].Replica == u.Replica {
 			q.pending[i] = u
@@ -114,7 +114,7 @@
 	}
 }
 
-func (s *reportSender) deliver(gate string, reports []Usage) {
+func (s *reportSender) deliver(gate string, reports []LoadReport) {
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
 	acknowledged, err := s.send(ctx, gate, reports)
--- a/internal/gate/proxy/weigh_test.go
+++ b/internal/gate/proxy/weigh_test.go
@@ -114,8 +114,8 @@
 		gates = append(gates, route.Gate{ID: id, Place: "glas-a"})
 		router := proxy.New(proxy.Options{
 			Self: id, Place: "glas-a", Seed: fleetSeed, Metrics: f, Route: config,
-			SendUsage: func(_ context.Context, gate string, u []proxy.Usage) ([]upstream.Feeding, error) {
-				return f.gates[gate[1]-'0'].Yield(u), nil
+			SendReports: func(_ context.Context, gate string, u []proxy.LoadReport) ([]upstream.Feeding, error) {
+				return f.gates[gate[1]-'0'].ApplyLoadReports(u), nil
 			},
 		})
 		f.gates = append(f.gates, router)
--- a/internal/gate/routed.go
+++ b/internal/gate/routed.go
@@ -34,7 +34,7 @@
 }
 
 // RouteHandler serves callers' requests according to the operators' routes.
-type Routed struct {
+type RouteHandler struct {
 	source   RouteSource
 	router   *proxy.Router
 	credit   Credit
@@ -44,18 +44,18 @@
 }
 
 // NewRouteHandler creates a RouteHandler.
-func NewRouted(source RouteSource, router *proxy.Router, credit Credit, metrics Metrics, log *zap.Logger) *Routed {
-	return &Routed{source: source, router: router, credit: credit, metrics: metrics, log: log, timeouts: newWaitEstimator()}
+func NewRouteHandler(source RouteSource, router *proxy.Router, credit Credit, metrics Metrics, log *zap.Logger) *RouteHandler {
+	return &RouteHandler{source: source, router: router, credit: credit, metrics: metrics, log: log, timeouts: newWaitEstimator()}
 }
 
 // MatchedRoute is the route of a request, with the version of the routes it is from.
-type Found struct {
+type MatchedRoute struct {
 	*routes.Route
 	Matcher *routes.Matcher
 }
 
 // canMove reports whether the service's engines can stop a run and continue it later.
-func (f Found) canMove(service string) bool {
+func (f MatchedRoute) canMove(service string) bool {
 	for _, s := range f.Matcher.Document().Services {
 		if s.Name == service {
 			return s.Engine != nil && s.Engine.Moves
@@ -69,10 +69,10 @@
 // A gate that has no routes yet, or has lost contact to the control VMs, cannot know
 // that there is no route. It then answers that it is unavailable, so that the caller
 // asks another gate.
-func (f *Routed) Lookup(ctx context.Context, requestID, host, path string) (Found, *apierr.Error) {
+func (f *RouteHandler) Lookup(ctx context.Context, requestID, host, path string) (MatchedRoute, *apierr.Error) {
 	matcher := f.awaitRoutes(ctx)
 	if found := matcher.Match(host, path); found != nil {
-		return Found{Route: found, Matcher: matcher}, nil
+		return MatchedRoute{Route: found, Matcher: matcher}, nil
 	}
 	var refusal *apierr.Error
 	switch {
@@ -89,7 +89,7 @@
 	f.metrics.Refused(refusal.Reason)
 	f.log.Info("request refused", telemetry.RequestID(requestID), telemetry.Reason(string(refusal.Reason)),
 		zap.String("host", host), zap.String("path", path), zap.Uint64("routes", matcher.Version()), zap.Duration("routes_age", f.source.Age()))
-	return Found{}, refusal
+	return MatchedRoute{}, refusal
 }
 
 const (
@@ -104,7 +104,7 @@
 // awaitRoutes returns the routes and waits for the first ones. Without the wait, all
 // callers of a site that has just restarted would be refused and would retry together,
 // past their targets, although routes and replicas are known a moment later.
-func (f *Routed) awaitRoutes(ctx context.Context) *routes.Matcher {
+func (f *RouteHandler) awaitRoutes(ctx context.Context) *routes.Matcher {
 	if matcher := f.source.Routes(); matcher.Version() > 0 {
 		return matcher
 	}
@@ -120,16 +120,16 @@
 	Fingerprint upstream.Fingerprint // of the content that an upstream would run
 	Prefix      uint64               // hash of the prompt's start; 0: no affinity
 	// CallerTimeout is how long the caller waits; 0: as long as the route allows.
-	Patience time.Duration
-	Arrived  time.Time
-	Team     routes.Team // the sender; empty if the routes require no keys
-	Protocol proxy.Protocol
+	CallerTimeout time.Duration
+	Arrived       time.Time
+	Team          routes.Team // the sender; empty if the routes require no keys
+	Protocol      proxy.Protocol
 }
 
 // usefulUntil returns the time by which the answer must start to meet the route's
 // target latency, which counts from the caller's first try, waited before this request.
 // It is zero if the route has no target.
-func usefulUntil(found Found, r *RoutedRequest, waited time.Duration) time.Time {
+func usefulUntil(found MatchedRoute, r *RoutedRequest, waited time.Duration) time.Time {
 	if found.TargetLatency <= 0 {
 		return time.Time{}
 	}
@@ -137,7 +137,7 @@
 }
 
 // priorityOf returns the priority of the team, or of the route without a team.
-func priorityOf(found Found, team *routes.Team) int {
+func priorityOf(found MatchedRoute, team *routes.Team) int {
 	if team.Name != "" {
 		return team.Priority
 	}
@@ -145,12 +145,12 @@
 }
 
 // Serve serves a request to a route that is not for batch jobs.
-func (f *Routed) Serve(ctx context.Context, caller proxy.Caller, found Found, r *RoutedRequest) {
+func (f *RouteHandler) Serve(ctx context.Context, caller proxy.Caller, found MatchedRoute, r *RoutedRequest) {
 	longest := found.Timeout
-	if r.Patience > 0 {
-		longest = min(longest, r.Patience)
+	if r.CallerTimeout > 0 {
+		longest = min(longest, r.CallerTimeout)
 	}
-	waited := f.timeouts.timeWaited(found.Name, r.Patience, found.Timeout)
+	waited := f.timeouts.timeWaited(found.Name, r.CallerTimeout, found.Timeout)
 	creditRequest := newCreditRequest(found, r, longest, waited)
 	if refusal := f.credit.Take(ctx, creditRequest); refusal != nil {
 		caller.Refuse(refusal)
@@ -160,7 +160,7 @@
 	service := found.Pick(rand.Float64(), f.router.Available)
 	f.log.Info("request routed", telemetry.RequestID(r.ID), telemetry.Team(r.Team.Name), zap.String("route", found.Name), zap.String("service", service),
 		zap.Uint64("routes", found.Matcher.Version()), zap.Duration("routes_age", f.source.Age()), zap.Duration("limit", longest),
-		zap.Duration("patience", r.Patience), zap.Duration("waited", waited),
+		zap.Duration("patience", r.CallerTimeout), zap.Duration("waited", waited),
 		zap.Duration("target", found.TargetLatency), zap.Duration("pause", found.LongestPause))
 	f.router.Serve(ctx, caller, service, r.Protocol, route.Request{
 		ID:          r.ID,
--- a/internal/gate/routed_test.go
+++ b/internal/gate/routed_test.go
@@ -56,9 +56,9 @@
 	close(s.published)
 }
 
-func newRouted(s *source) (*gate.Routed, *telemetry.Metrics) {
+func newRouted(s *source) (*gate.RouteHandler, *telemetry.Metrics) {
 	metrics := telemetry.NewMetrics()
-	return gate.NewRouted(s, nil, nil, metrics, zap.NewNop()), metrics
+	return gate.NewRouteHandler(s, nil, nil, metrics, zap.NewNop()), metrics
 }
 
 // Guards against the refusal of all callers after a full restart of a site: they send
