--- a/internal/route/admission.go
+++ b/internal/route/admission.go
@@ -7,13 +7,13 @@
 	"slateway.example/slateway/internal/apierr"
 )
 
-// teamState is what one team has in this shard.
+// teamState holds a team's requests in flight and its rate limit in this shard.
 type teamState struct {
 	inFlight int
 	bucket   tokenBucket
 }
 
-// Bounds of the time that a refused caller is told to wait.
+// Bounds of the retry delay that a refused caller receives.
 const (
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
@@ -26,7 +26,7 @@
 		s.count(ReasonDuplicateID)
 		return
 	}
-	req := &request{Request: in.Request, arrived: s.at, next: First, tokens: in.Request.Reached}
+	req := &request{Request: in.Request, arrived: s.now, next: First, tokens: in.Request.Reached}
 	if err := s.admit(req); err != nil {
 		s.count(err.Reason)
 		s.emit(Refuse{ID: req.ID, Err: err})
@@ -50,9 +50,10 @@
 	return state
 }
 
-// admit refuses what cannot be answered in time, before any work is done.
+// admit returns an error for a request that cannot be answered in time, before any work
+// is done for it.
 func (s *Shard) admit(req *request) *apierr.Error {
-	if !s.at.Before(req.Deadline) {
+	if !s.now.Before(req.Deadline) {
 		return deadlineError(req)
 	}
 	if err := s.checkStanding(req); err != nil {
@@ -71,7 +72,7 @@
 		return err
 	}
 	if ready == noneReady {
-		return nil // waits for OutageWait at most: a probe may bring one back
+		return nil // it waits for at most OutageWait: a probe may return a replica to use
 	}
 	return s.checkQueue(req)
 }
@@ -87,7 +88,7 @@
 	if req.Limits.Rate <= 0 {
 		return nil
 	}
-	if wait := team.bucket.take(s.at, req.Limits.Rate, req.Limits.Burst); wait > 0 {
+	if wait := team.bucket.take(s.now, req.Limits.Rate, req.Limits.Burst); wait > 0 {
 		return apierr.New(apierr.Overloaded, ReasonTeamRate,
 			"send more slowly, or ask the operator for a higher rate",
 			"team %s is over its rate of %g requests a second", req.Team, req.Limits.Rate).
@@ -97,31 +98,31 @@
 }
 
 func (s *Shard) checkQueue(req *request) *apierr.Error {
-	waiting := s.waiting.len()
+	waiting := s.onlineQueue.len()
 	if waiting >= s.config.MaxQueue {
 		return apierr.New(apierr.Overloaded, ReasonQueueFull,
-			"come back after the time given", "%d requests wait at this gate, its limit", waiting).
+			"retry after the given time", "%d requests wait at this gate, its limit", waiting).
 			WithRetryAfter(s.retryAfter(waiting))
 	}
-	wait := s.waitOf(waiting)
-	if waiting > 0 && s.at.Add(wait).After(req.Deadline) {
+	wait := s.estimateWait(waiting)
+	if waiting > 0 && s.now.Add(wait).After(req.Deadline) {
 		return apierr.New(apierr.Overloaded, ReasonWaitTooLong,
-			"come back after the time given, or give a later deadline",
+			"retry after the given time, or send the request with a later deadline",
 			"the queue of %d requests takes about %s, longer than the deadline allows", waiting, wait.Round(time.Millisecond)).
 			WithRetryAfter(s.retryAfter(waiting))
 	}
 	return nil
 }
 
-// waitOf estimates how long the nth of the queue waits: the requests that run
-// end at the rate of their number over the mean time of an answer. The rate of
-// answers alone would mislead after a quiet time.
-func (s *Shard) waitOf(n int) time.Duration {
-	return time.Duration(n) * s.answer.mean / time.Duration(max(s.onlineRunning, 1))
+// estimateWait estimates how long the nth request of the queue waits: running requests
+// end at a rate of their number over the mean answer time. The measured rate of answers
+// would mislead after an idle period.
+func (s *Shard) estimateWait(n int) time.Duration {
+	return time.Duration(n) * s.answerTime.mean / time.Duration(max(s.onlineRunning, 1))
 }
 
-// retryAfter tells when n requests will have drained.
-func (s *Shard) retryAfter(n int) time.Duration { return clampRetry(s.waitOf(n)) }
+// retryAfter returns the retry delay after which n requests will have left the queue.
+func (s *Shard) retryAfter(n int) time.Duration { return clampRetry(s.estimateWait(n)) }
 
 func clampRetry(d time.Duration) time.Duration {
 	return min(max(d, minRetryAfter), maxRetryAfter)
@@ -140,41 +141,41 @@
 	return apierr.RanNo
 }
 
-// enqueue puts a request among those that wait for a replica. One that has only been
-// offered a slot in vain goes on waiting.
+// enqueue adds a request to the queue of its class. A request that returns from a
+// failed reservation keeps the time at which it was first queued.
 func (s *Shard) enqueue(req *request) {
 	if req.queuedAt.IsZero() {
-		req.queuedAt = s.at
+		req.queuedAt = s.now
 	}
-	req.places = 0
-	queue := &s.waiting
+	req.reservationTries = 0
+	queue := &s.onlineQueue
 	if req.Class == Batch {
-		queue = &s.batch
+		queue = &s.batchQueue
 	}
 	queue.push(req)
-	req.behind = slices.Index(queue.list, req)
+	req.aheadInQueue = slices.Index(queue.list, req)
 }
 
-// maxPumpMisses bounds the waiting requests that one pass finds no replica for.
+// maxPumpMisses bounds the waiting requests for which one pass finds no replica.
 const maxPumpMisses = 8
 
-// pump starts what can start, online before batch.
+// pump starts waiting requests, online before batch.
 func (s *Shard) pump() {
-	if s.waiting.len() > 0 {
-		s.waiting.markLate(s.at, func(*request) time.Duration { return s.firstToken.mean })
-		s.waiting.takeReady(s.at, maxPumpMisses, s.startOnline)
+	if s.onlineQueue.len() > 0 {
+		s.onlineQueue.markOverdue(s.now, func(*request) time.Duration { return s.firstTokenTime.mean })
+		s.onlineQueue.startReady(s.now, maxPumpMisses, s.startOnline)
 	}
-	if s.batch.len() > 0 {
-		s.batch.markLate(s.at, s.itemLead)
-		s.batch.takeReady(s.at, maxPumpMisses, s.startBatch)
+	if s.batchQueue.len() > 0 {
+		s.batchQueue.markOverdue(s.now, s.remainingTime)
+		s.batchQueue.startReady(s.now, maxPumpMisses, s.startBatch)
 	}
 }
 
 func (s *Shard) startOnline(req *request) startResult {
-	if !s.mayRunNow(req) || req.late && !req.delivered && !s.mayStartLate() {
+	if !s.mayRunNow(req) || req.overdue && !req.delivered && !s.mayStartOverdue() {
 		return held
 	}
-	if r := s.boundTo(req); r != nil {
+	if r := s.replicaOfCopy(req); r != nil {
 		if !s.fits(req, r) {
 			return held
 		}
@@ -187,8 +188,8 @@
 		r = s.pick(req)
 	}
 	switch {
-	case r != nil && s.mustConfirm(req, r):
-		s.place(req, r)
+	case r != nil && s.needsReservation(req, r):
+		s.reserve(req, r)
 		return started
 	case r != nil:
 		s.dispatch(req, r, req.next)
@@ -200,8 +201,8 @@
 	}
 }
 
-// onlyAvoided says whether each replica of the lists that could take the request
-// has failed it before; one of them is then better than none.
+// onlyAvoided reports whether every replica of the lists that could run the request has
+// failed it before. Trying one of them again is then better than running it nowhere.
 func (s *Shard) onlyAvoided(req *request, lists ...[]*replica) bool {
 	if len(req.avoid) == 0 {
 		return false
--- a/internal/route/attempt.go
+++ b/internal/route/attempt.go
@@ -11,59 +11,60 @@
 	s.dispatchFrom(req, r, kind, "")
 }
 
-// dispatchFrom sends the request to go on from the memory of its run; empty: without.
+// dispatchFrom sends the request to a replica. A non-empty memory is the name of the
+// kept memory from which the replica resumes the run.
 func (s *Shard) dispatchFrom(req *request, r *replica, kind DispatchKind, memory string) {
 	s.nextAttempt++
-	a := &attempt{id: s.nextAttempt, req: req, on: r, started: s.at, progress: s.at}
+	a := &attempt{id: s.nextAttempt, req: req, replica: r, started: s.now, lastProgress: s.now}
 	a.queued = !s.hasSlot(r)
 	s.attempts[a.id] = a
-	s.copyStarted(req.Fingerprint, r)
+	s.recordCopyStart(req.Fingerprint, r)
 	req.live = append(req.live, a)
 	req.tried++
 	r.attempts = append(r.attempts, a)
-	s.countOn(r, req.Class, 1)
+	s.addLoad(r, req.Class, 1)
 	resume := req.tokens > 0 && r.entry.CanResume && (req.Resumable || memory != "")
 	s.emit(Dispatch{
 		ID: req.ID, Attempt: a.id, Kind: kind, Target: &r.entry.Announcement, Resume: resume, Memory: memory,
-		Queued: s.waited(req), Behind: req.behind, Places: req.places,
+		Queued: s.queueWait(req), Behind: req.aheadInQueue, Places: req.reservationTries,
 	})
-	req.queuedAt, req.behind, req.places = time.Time{}, 0, 0
+	req.queuedAt, req.aheadInQueue, req.reservationTries = time.Time{}, 0, 0
 	if req.Class == Batch {
-		s.lastItem = req
+		s.lastBatchItem = req
 		return
 	}
-	s.yieldSlots(r, req.ID)
+	s.freeSlots(r, req.ID)
 }
 
-// waited is how long the request has waited for the attempt that begins now; 0 if it
-// goes on at once after another one, or beside it.
-func (s *Shard) waited(req *request) time.Duration {
+// queueWait returns how long the request was queued before the attempt that starts now,
+// or 0 if the attempt directly follows another one or runs beside it.
+func (s *Shard) queueWait(req *request) time.Duration {
 	if req.queuedAt.IsZero() {
 		return 0
 	}
-	return s.at.Sub(req.queuedAt)
+	return s.now.Sub(req.queuedAt)
 }
 
-func (s *Shard) countOn(r *replica, class Class, by int) {
+func (s *Shard) addLoad(r *replica, class Class, by int) {
 	if class == Online {
 		r.online += by
 		s.onlineRunning += by
 	} else {
 		r.batch += by
 	}
-	r.feedVersion = s.table.Bump()
-	s.noteKnown(r)
-	s.tellFeeder(r)
+	r.loadVersion = s.table.Bump()
+	s.updateKnownPeak(r)
+	s.reportLoad(r)
 }
 
-// end takes an attempt off its replica.
-func (s *Shard) end(a *attempt) {
+// endAttempt removes an attempt from its replica's load.
+func (s *Shard) endAttempt(a *attempt) {
 	delete(s.attempts, a.id)
-	a.req.worked += s.at.Sub(a.started)
-	s.copyEnded(a.req.Fingerprint)
+	a.req.runTime += s.now.Sub(a.started)
+	s.recordCopyEnd(a.req.Fingerprint)
 	a.req.live = without(a.req.live, a)
-	a.on.attempts = without(a.on.attempts, a)
-	s.countOn(a.on, a.req.Class, -1)
+	a.replica.attempts = without(a.replica.attempts, a)
+	s.addLoad(a.replica, a.req.Class, -1)
 }
 
 func without(list []*attempt, a *attempt) []*attempt {
@@ -80,44 +81,44 @@
 // cancel stops an attempt.
 func (s *Shard) cancel(a *attempt, cause CancelCause) { s.cancelFor(a, cause, "") }
 
-// cancelFor stops an attempt to make room for a request or gate.
+// cancelFor stops an attempt to make room for the request or gate named in forWhom.
 func (s *Shard) cancelFor(a *attempt, cause CancelCause, forWhom string) {
-	s.end(a)
+	s.endAttempt(a)
 	s.count(ReasonCancelPrefix + apierr.Reason(cause))
 	s.emit(Cancel{ID: a.req.ID, Attempt: a.id, Cause: cause, For: forWhom})
 }
 
-// forget ends all that is known of a request.
-func (s *Shard) forget(req *request, cause CancelCause) {
+// removeRequest cancels the attempts of a request and deletes its state.
+func (s *Shard) removeRequest(req *request, cause CancelCause) {
 	for len(req.live) > 0 {
 		s.cancel(req.live[0], cause)
 	}
-	if req.awaiting != nil {
-		req.awaiting.orphans = append(req.awaiting.orphans, req.Fingerprint)
-		s.settled(req)
+	if req.awaitedReplica != nil {
+		req.awaitedReplica.abandonedPrints = append(req.awaitedReplica.abandonedPrints, req.Fingerprint)
+		s.endAwait(req)
 	}
-	s.waiting.remove(req)
-	s.batch.remove(req)
-	s.withdrawPlace(req)
+	s.onlineQueue.remove(req)
+	s.batchQueue.remove(req)
+	s.cancelReservation(req)
 	delete(s.requests, req.ID)
 	if req.Class == Online {
 		s.team(req.Team).inFlight--
 	}
 }
 
-// refuse gives a request its final answer.
+// refuse sends a request its final error.
 func (s *Shard) refuse(req *request, err *apierr.Error) {
 	if len(req.live) > 0 {
 		err = err.WithRan(apierr.RanUnknown)
 	}
-	s.forget(req, CancelAbandoned)
+	s.removeRequest(req, CancelAbandoned)
 	s.count(err.Reason)
 	s.emit(Refuse{ID: req.ID, Err: err})
 }
 
 func (in Abandon) apply(s *Shard) {
 	if req := s.requests[in.ID]; req != nil {
-		s.forget(req, CancelAbandoned)
+		s.removeRequest(req, CancelAbandoned)
 		s.pump()
 	}
 }
@@ -128,23 +129,23 @@
 		return
 	}
 	if a.tokens > 0 {
-		s.observeGap(s.at.Sub(a.progress))
+		s.observeGap(s.now.Sub(a.lastProgress))
 	}
-	a.progress = s.at
-	a.on.heardAt = s.at
+	a.lastProgress = s.now
+	a.replica.lastContact = s.now
 	if in.Tokens > 0 && a.tokens == 0 {
-		s.firstToken.observe(s.at.Sub(a.started))
-		s.settle(a)
+		s.firstTokenTime.observe(s.now.Sub(a.started))
+		s.cancelOthers(a)
 	}
 	a.tokens = max(a.tokens, in.Tokens)
 	a.req.tokens = max(a.req.tokens, in.Tokens)
 	a.req.delivered = a.req.delivered || in.Delivered
 }
 
-// settle stops the other attempts of a request: the first to answer wins.
+// cancelOthers stops the other attempts of a request once one has answered.
 //
-// Without it two attempts would write into one answer, each with its own words.
-func (s *Shard) settle(winner *attempt) {
+// Otherwise two attempts would write their different texts into one answer.
+func (s *Shard) cancelOthers(winner *attempt) {
 	if s.config.Disabled.Settle {
 		return
 	}
@@ -161,26 +162,26 @@
 		return
 	}
 	req := a.req
-	a.on.failures = 0
-	a.on.heardAt = s.at
-	s.end(a)
-	s.forget(req, CancelHedgeLost)
+	a.replica.failures = 0
+	a.replica.lastContact = s.now
+	s.endAttempt(a)
+	s.removeRequest(req, CancelHedgeLost)
 	switch {
 	case req.Class == Online:
-		s.answer.observe(s.at.Sub(a.started))
+		s.answerTime.observe(s.now.Sub(a.started))
 	case req.Reached == 0:
-		s.itemWork.observe(req.worked)
+		s.itemRunTime.observe(req.runTime)
 	}
-	s.copyProven(req.Fingerprint)
-	s.clearStrikes(req)
+	s.recordCompletion(req.Fingerprint)
+	s.clearCrashes(req)
 	s.pump()
 }
 
-func (s *Shard) clearStrikes(req *request) {
-	if s.strikes.Standing(s.at, req.Fingerprint) == upstream.StandingClear {
+func (s *Shard) clearCrashes(req *request) {
+	if s.crashes.Standing(s.now, req.Fingerprint) == upstream.StandingClear {
 		return
 	}
-	if cleared := s.strikes.Clear(req.Fingerprint); len(cleared) > 0 {
+	if cleared := s.crashes.Clear(req.Fingerprint); len(cleared) > 0 {
 		s.emit(Spread{Strikes: cleared})
 	}
 }
--- a/internal/route/batch.go
+++ b/internal/route/batch.go
@@ -9,7 +9,7 @@
 
 func (in Draining) apply(s *Shard) {
 	s.draining = true
-	for _, req := range slices.Clone(s.batch.list) {
+	for _, req := range slices.Clone(s.batchQueue.list) {
 		s.refuse(req, drainingError(req))
 	}
 	for _, r := range s.replicas {
@@ -19,7 +19,7 @@
 			}
 		}
 	}
-	s.chooseFeeders()
+	s.assignOwners()
 }
 
 func drainingError(req *request) *apierr.Error {
@@ -27,30 +27,31 @@
 		"the gate is shutting down").WithRan(req.ran())
 }
 
-// unfedLimit is how long a batch item waits in a gate that feeds no replica for
-// it. Who feeds a replica may change for a moment as gates come and go.
-const unfedLimit = time.Second
+// unassignedLimit is how long a batch item waits in a gate that owns no replica for it.
+// Ownership may change briefly while gates join and leave.
+const unassignedLimit = time.Second
 
-// checkUnfed gives waiting batch items back that this gate cannot start.
+// refuseUnassigned returns waiting batch items that this gate cannot start, so that
+// another gate can lease them.
 //
-// A gate that starts up takes all replicas for its own until it has heard of
-// the others, and leases items for them; a gate that joins takes replicas over
-// from one that holds items for them. Those items would wait here for good, and
-// their job would stop short of its end though every replica is idle.
-func (s *Shard) checkUnfed() {
+// A starting gate assumes that it owns every replica until it has received the list of
+// gates, and leases items for all of them; a joining gate takes over replicas from a
+// gate that holds items for them. Such items would wait here forever, and their job
+// would not finish although every replica is idle.
+func (s *Shard) refuseUnassigned() {
 	if s.config.Disabled.Unfed {
 		return
 	}
 	s.rebuild()
-	for _, req := range slices.Clone(s.batch.list) {
+	for _, req := range slices.Clone(s.batchQueue.list) {
 		switch {
-		case slices.ContainsFunc(s.fed, func(r *replica) bool { return r.serves(req) }):
-			req.unfedAt = time.Time{}
-		case req.unfedAt.IsZero():
-			req.unfedAt = s.at
-		case s.at.Sub(req.unfedAt) >= unfedLimit && (req.Repeatable || !req.maybeRan):
-			s.refuse(req, apierr.New(apierr.Unavailable, ReasonNotFed, "run the item through another gate",
-				"another gate feeds the replicas that could run the item").WithRan(req.ran()))
+		case slices.ContainsFunc(s.owned, func(r *replica) bool { return r.serves(req) }):
+			req.unassignedSince = time.Time{}
+		case req.unassignedSince.IsZero():
+			req.unassignedSince = s.now
+		case s.now.Sub(req.unassignedSince) >= unassignedLimit && (req.Repeatable || !req.maybeRan):
+			s.refuse(req, apierr.New(apierr.Unavailable, ReasonNotOwner, "run the item through another gate",
+				"another gate owns the replicas that could run the item").WithRan(req.ran()))
 		}
 	}
 }
@@ -62,62 +63,61 @@
 	return nil
 }
 
-// batchFree gives the slots of a fed replica that batch under the policy may
-// take now.
+// freeBatchSlots returns the slots of an owned replica that batch work under the policy
+// may take now.
 //
-// Engines admit in the order of arrival, so that a batch request in an
-// engine's queue would hold up each online request behind it. Batch therefore
-// goes only where a slot is free, counting all that may be under way to it.
-func (s *Shard) batchFree(r *replica, policy Policy) int {
-	if s.at.Before(r.holdUntil) || s.at.Before(r.fullUntil) {
+// Engines admit requests in order of arrival, so a batch request in an engine's queue
+// would delay every online request behind it. Batch work therefore goes only to free
+// slots, counting all requests that may be on their way to the replica.
+func (s *Shard) freeBatchSlots(r *replica, policy Policy) int {
+	if s.now.Before(r.holdUntil) || s.now.Before(r.fullUntil) {
 		return 0
 	}
 	slots := s.slots(r)
-	return slots - policy.reserve(slots) - s.totalLoad(r)
+	return slots - policy.headroomSlots(slots) - s.totalLoad(r)
 }
 
-// BatchRoom gives the number of batch items that could start now.
+// BatchRoom returns the number of batch items that could start now.
 func (s *Shard) BatchRoom(policy Policy) int {
 	if s.draining {
 		return 0
 	}
 	s.rebuild()
 	room := 0
-	for _, r := range s.fed {
-		room += max(0, s.batchFree(r, policy))
+	for _, r := range s.owned {
+		room += max(0, s.freeBatchSlots(r, policy))
 	}
-	return max(0, room-s.batch.len())
+	return max(0, room-s.batchQueue.len())
 }
 
-// prefetchShare is the part of the batch on the fed replicas that waits in the
-// gate, so that a slot that becomes free is filled at once: one in four.
+// prefetchShare sets how many batch items wait in the gate, so that a slot that becomes
+// free is filled at once: one for every four slots used or available for batch.
 const prefetchShare = 4
 
-// BatchTarget gives the number of batch items that the gate should hold:
-// those that run, those that could start, and a few that wait for the next free
-// slots.
+// BatchTarget returns the number of batch items that the gate should hold: those that
+// run, those that could start, and a few that wait for the next free slots.
 func (s *Shard) BatchTarget(policy Policy) int {
 	if s.draining {
 		return 0
 	}
 	s.rebuild()
-	if len(s.fed) == 0 {
+	if len(s.owned) == 0 {
 		return 0
 	}
-	places := 0
-	for _, r := range s.fed {
-		places += r.batch + max(0, s.batchFree(r, policy)-s.spareOfNext(r))
+	items := 0
+	for _, r := range s.owned {
+		items += r.batch + max(0, s.freeBatchSlots(r, policy)-s.reservedForNext(r))
 	}
-	return places + places/prefetchShare + 1
+	return items + items/prefetchShare + 1
 }
 
-// itemLead estimates how long an item still takes: its share of the work that is
-// left, of the time that items take.
-func (s *Shard) itemLead(req *request) time.Duration {
-	if s.itemWork.mean == 0 {
+// remainingTime estimates how long an item still runs: its expected run time, reduced
+// by the share of the mean work that it has already done.
+func (s *Shard) remainingTime(req *request) time.Duration {
+	if s.itemRunTime.mean == 0 {
 		return req.Takes
 	}
-	left := 1 - float64(req.worked)/float64(s.itemWork.mean)
+	left := 1 - float64(req.runTime)/float64(s.itemRunTime.mean)
 	return time.Duration(max(0, left) * float64(req.Takes))
 }
 
@@ -125,14 +125,14 @@
 	if !s.mayRunNow(req) {
 		return held
 	}
-	if r := s.boundTo(req); r != nil {
+	if r := s.replicaOfCopy(req); r != nil {
 		return s.startBatchOn(req, r)
 	}
 	r := s.pickBatch(req)
-	if r == nil && s.onlyAvoided(req, s.fed) {
-		// Only fed replicas count: an item that failed on the one replica that
-		// this gate feeds would wait here for good, while others that it may not
-		// use are free.
+	if r == nil && s.onlyAvoided(req, s.owned) {
+		// Only owned replicas count: an item that failed on the only replica that this
+		// gate owns would wait here forever while replicas that the gate may not use
+		// are free.
 		req.avoid = nil
 		r = s.pickBatch(req)
 	}
@@ -148,22 +148,22 @@
 }
 
 func (s *Shard) startBatchOn(req *request, r *replica) startResult {
-	if !s.feeds(r) || s.batchFree(r, req.Policy)-s.spare(req, r) <= 0 || !s.mayServe(req, r) {
+	if !s.ownsReplica(r) || s.freeBatchSlots(r, req.Policy)-s.reservedSlots(req, r) <= 0 || !s.mayServe(req, r) {
 		return held
 	}
 	s.dispatch(req, r, req.next)
 	return started
 }
 
-// pickBatch chooses the fed replica with the most free slots, or the fewest if
+// pickBatch chooses the owned replica with the most free slots, or with the fewest if
 // the policy packs.
 func (s *Shard) pickBatch(req *request) *replica {
 	s.rebuild()
 	var best *replica
 	bestFree := 0
-	for _, r := range s.fed {
-		free := s.batchFree(r, req.Policy) - s.spare(req, r)
-		if free <= 0 || !s.mayServe(req, r) || (s.isSuspect(req) && s.sharesTrial(r)) {
+	for _, r := range s.owned {
+		free := s.freeBatchSlots(r, req.Policy) - s.reservedSlots(req, r)
+		if free <= 0 || !s.mayServe(req, r) || (s.isSuspect(req) && s.hasTrial(r)) {
 			continue
 		}
 		if best == nil || (req.Policy.Pack && free < bestFree) || (!req.Policy.Pack && free > bestFree) {
@@ -173,13 +173,13 @@
 	return best
 }
 
-// yieldTime is how long an engine may take to free the slot of a batch request
-// that was stopped.
-const yieldTime = 200 * time.Millisecond
+// preemptionTime is how long an engine may take to free the slot of a preempted batch
+// request.
+const preemptionTime = 200 * time.Millisecond
 
-// Queued comes when the replica was full although it seemed to have room. One
-// batch request gives way, unless one was stopped a moment ago and its slot is
-// on its way.
+// apply handles an online request that the replica queued although it seemed to have
+// room. One batch request is preempted, unless one was preempted so recently that its
+// slot is still being freed.
 func (in Queued) apply(s *Shard) {
 	a := s.attempts[in.Attempt]
 	if a == nil || a.req.Class == Batch {
@@ -187,22 +187,23 @@
 	}
 	a.queued = true
 	s.count(ReasonBatchBehind)
-	if s.config.Disabled.Preempt || s.at.Sub(a.on.yieldedAt) < yieldTime {
+	if s.config.Disabled.Preempt || s.now.Sub(a.replica.preemptedAt) < preemptionTime {
 		return
 	}
-	if victim := s.victim(a.on); victim != nil {
+	if victim := s.chooseVictim(a.replica); victim != nil {
 		s.preempt(victim, a.req.ID)
 	}
 }
 
-// yieldSlots preempts batch on r until each batch request's policy has the
-// slots that it keeps free. ForWhom names the request or gate that takes them.
-func (s *Shard) yieldSlots(r *replica, forWhom string) {
+// freeSlots preempts batch work on r until every remaining batch request leaves the
+// slots free that its policy requires. forWhom is the request or gate that takes the
+// slots.
+func (s *Shard) freeSlots(r *replica, forWhom string) {
 	if s.config.Disabled.Preempt {
 		return
 	}
 	for {
-		victim := s.victim(r)
+		victim := s.chooseVictim(r)
 		if victim == nil || s.totalLoad(r) <= s.slots(r)-victim.req.Policy.MinFree {
 			return
 		}
@@ -210,28 +211,28 @@
 	}
 }
 
-// preemptible says whether an attempt may be stopped: an item that may not be
-// repeated runs to its end.
+// preemptible reports whether an attempt may be preempted: only batch items that may be
+// repeated.
 func (a *attempt) preemptible() bool { return a.req.Class == Batch && a.req.Repeatable }
 
-// victim chooses the batch attempt to stop: those of the policy that keeps the
-// most slots free first, then by the policy's rule.
-func (s *Shard) victim(r *replica) *attempt {
+// chooseVictim returns the batch attempt to preempt: first those whose policy keeps the
+// most slots free, then by the policy's victim rule.
+func (s *Shard) chooseVictim(r *replica) *attempt {
 	var worst *attempt
 	for _, a := range r.attempts {
-		if a.preemptible() && (worst == nil || s.yieldsBefore(a, worst)) {
+		if a.preemptible() && (worst == nil || s.isPreemptedBefore(a, worst)) {
 			worst = a
 		}
 	}
 	return worst
 }
 
-func (s *Shard) yieldsBefore(a, b *attempt) bool {
+func (s *Shard) isPreemptedBefore(a, b *attempt) bool {
 	if a.req.Policy.MinFree != b.req.Policy.MinFree {
 		return a.req.Policy.MinFree > b.req.Policy.MinFree
 	}
-	if a.req.late != b.req.late {
-		return a.req.late // it has nothing to lose by waiting
+	if a.req.overdue != b.req.overdue {
+		return a.req.overdue // already past its target, so waiting costs it little
 	}
 	if a.req.Policy.Victim == VictimLeastWork && a.tokens != b.tokens {
 		return a.tokens < b.tokens
@@ -239,14 +240,14 @@
 	return a.id > b.id
 }
 
-// preempt stops a batch attempt; its item waits and goes on later.
+// preempt stops a batch attempt and queues its item to be resumed later.
 func (s *Shard) preempt(a *attempt, forWhom string) {
 	req := a.req
-	a.on.yieldedAt = s.at
-	a.on.holdUntil = s.at.Add(req.Policy.Hold)
+	a.replica.preemptedAt = s.now
+	a.replica.holdUntil = s.now.Add(req.Policy.Hold)
 	s.cancelFor(a, CancelPreempted, forWhom)
 	req.maybeRan = true
-	req.tried-- // a preemption is not the item's failure
+	req.tried-- // a preemption does not count as a failed attempt
 	req.next = Resume
 	s.enqueue(req)
 }
--- a/internal/route/belief.go
+++ b/internal/route/belief.go
@@ -1,36 +1,37 @@
 package route
 
-// Belief is what a gate takes a replica's process for.
-type Belief string
+// ReplicaState is a gate's conclusion about a replica's process.
+type ReplicaState string
 
-// Beliefs.
+// States of a replica.
 const (
-	BeliefSuspect  Belief = "suspect"  // it gets nothing new until it answers a probe
-	BeliefDead     Belief = "dead"     // its process has ended with what ran there
-	BeliefReturned Belief = "returned" // it is in use again
+	StateSuspect  ReplicaState = "suspect"  // receives no new requests until it answers a probe
+	StateDead     ReplicaState = "dead"     // the process has ended, and the requests on it are lost
+	StateReturned ReplicaState = "returned" // back in use
 )
 
-// Evidence is what a belief comes from: the cause of a failed attempt, or one of these.
+// Evidence is the cause of a state change: the cause of a failed attempt, or one of the
+// values below.
 type Evidence string
 
-// Evidence beside failed attempts.
+// Evidence other than failed attempts.
 const (
 	EvidenceUnanswered Evidence = "probe_unanswered"
-	EvidenceRefused    Evidence = "probe_refused"   // the VM answers and no process listens
-	EvidenceAnswered   Evidence = "probe_answered"  // by the process that was known
+	EvidenceRefused    Evidence = "probe_refused"   // the VM answers, but no process listens
+	EvidenceAnswered   Evidence = "probe_answered"  // by the known process
 	EvidenceReplaced   Evidence = "probe_replaced"  // by another process
-	EvidenceAnnounced  Evidence = "announced_again" // as another process
-	EvidenceNoVerdict  Evidence = "verdict_overdue" // a connection broke and no probe was answered since
+	EvidenceAnnounced  Evidence = "announced_again" // by another process
+	EvidenceNoVerdict  Evidence = "verdict_overdue" // a connection broke, and no probe has been answered since
 )
 
-// believe tells that the gate's belief of a replica has changed.
-func (s *Shard) believe(r *replica, belief Belief, evidence Evidence) {
-	told := Believed{
-		Replica: r.entry.Replica, Belief: belief, Evidence: evidence, Failures: r.failures,
-		Attempts: len(r.attempts), Slowly: belief == BeliefReturned && !r.rampFrom.IsZero(),
+// emitState reports that the gate's conclusion about a replica has changed.
+func (s *Shard) emitState(r *replica, state ReplicaState, evidence Evidence) {
+	change := Believed{
+		Replica: r.entry.Replica, Belief: state, Evidence: evidence, Failures: r.failures,
+		Attempts: len(r.attempts), Slowly: state == StateReturned && !r.slowStartFrom.IsZero(),
 	}
-	if !r.heardAt.IsZero() {
-		told.Quiet = s.at.Sub(r.heardAt)
+	if !r.lastContact.IsZero() {
+		change.Quiet = s.now.Sub(r.lastContact)
 	}
-	s.emit(told)
+	s.emit(change)
 }
--- a/internal/route/bench_test.go
+++ b/internal/route/bench_test.go
@@ -10,8 +10,8 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// benchSizes are a gate's own replicas, a place's and the whole fleet's at the
-// planned size.
+// benchSizes are the replicas of a single gate, of a place and of the whole fleet at
+// the planned size.
 var benchSizes = []int{13, 250, 5500}
 
 func announcementOf(i, running int, sequence uint64) upstream.Announcement {
@@ -44,7 +44,7 @@
 	}
 }
 
-// oneRequest takes a request from its arrival to its end.
+// oneRequest runs a request from its arrival to its end.
 func oneRequest(s *route.Shard, n int, request route.Request) {
 	request.ID = "q"
 	request.Deadline = epoch.Add(time.Hour)
@@ -108,8 +108,8 @@
 	})
 }
 
-// BenchmarkBalance reports how uneven the picks are: the highest and the mean
-// load of a replica when 60% of all slots are taken, with reports that lag.
+// BenchmarkBalance measures the imbalance of the choices: the highest load of a replica
+// over the mean when 60% of all slots are taken, with load announcements that lag.
 func BenchmarkBalance(b *testing.B) {
 	for _, affinity := range []bool{false, true} {
 		b.Run(fmt.Sprintf("affinity=%t", affinity), func(b *testing.B) {
@@ -146,7 +146,7 @@
 	return float64(most) * replicas / requests
 }
 
-// BenchmarkJoin gives the time and memory of taking in all replicas.
+// BenchmarkJoin measures the time and memory of adding all replicas.
 func BenchmarkJoin(b *testing.B) {
 	for _, replicas := range benchSizes {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
--- a/internal/route/config.go
+++ b/internal/route/config.go
@@ -1,10 +1,10 @@
-// Package route decides which replica runs each request of one service, and
-// when: picking, admission, retries, hedging, silent connections, poison
-// requests, and batch work in the slots that online work leaves free.
+// Package route decides when each request of one service runs and on which replica:
+// selection, admission, retries, hedging, silent connections, requests that crash
+// replicas, and batch work in the slots that online work leaves free.
 //
-// A Shard is deterministic. Inputs carry what happened, Step takes them with
-// the time and returns what the shell has to do. It starts no goroutine, reads
-// no clock and draws randomness only from the source that it is given.
+// A Shard is deterministic. Inputs describe events; Step applies an input at a given
+// time and returns the outputs that the caller must carry out. It starts no goroutines,
+// reads no clock and uses only the random source that it is given.
 package route
 
 import "time"
@@ -14,37 +14,37 @@
 	Self  string // the gate's own ID
 	Place string // the gate's own place
 
-	EntryLifetime  time.Duration // an upstream not announced for so long is dropped
-	StrikeLifetime time.Duration // a strike of a crashed replica is forgotten after it
-	ReportLag      time.Duration // the longest lag of a load report
+	EntryLifetime time.Duration // an upstream that is not announced for this long is dropped
+	CrashLifetime time.Duration // how long a crash record is kept
+	ReportLag     time.Duration // the longest lag of a replica's own load announcement
 
-	MaxQueue       int           // online requests that wait in the gate
+	MaxQueue       int           // online requests queued in the gate
 	OutageWait     time.Duration // how long a request waits while no replica can take it
-	Overcommit     float64       // online requests beyond the slots, as a share of them
-	SpillAt        float64       // load of the own place at which others are considered
-	SpillPenalty   float64       // how much less loaded another place must be
-	AffinityBound  float64       // load of the preferred replica over the sampled one, at most
+	Overcommit     float64       // online requests beyond the slots, as a share of the slots
+	SpillAt        float64       // load in the gate's own place above which other places are considered
+	SpillPenalty   float64       // how much lower the load of another place must be
+	AffinityBound  float64       // maximum load of the preferred replica above that of the sampled one
 	AffinityTries  int           // replicas in rendezvous order that affinity may use
-	MaxAttempts    int           // attempts of one request, hedges included
+	MaxAttempts    int           // attempts of one request, including hedges
 	RetryShare     float64       // retries as a share of the offered requests
-	RetryReserve   float64       // retries saved up at most; a new shard starts with a fifth of it
-	BatchBackoff   time.Duration // delay before a failed batch item is tried again
-	HedgeMin       time.Duration // the shortest wait before a hedge; negative turns hedging off
-	FirstTimeout   time.Duration // an attempt without any answer for so long is silent
-	TokenTimeout   time.Duration // a stream without a token for so long is silent
-	ServiceTimeout time.Duration // the same for the answer of a plain service
-	StallMin       time.Duration // a stream without an event for so long is taken up again; 0: never
-	PlaceWait      time.Duration // how long a request waits for the word on its slot; 0: not at all
-	VerdictTimeout time.Duration // how long a broken attempt waits for the probe of its replica
-	ProbeAfter     time.Duration // an engine with a stream quiet for so long is asked whether it lives
+	RetryReserve   float64       // maximum saved retries; a new shard starts with a fifth of it
+	BatchBackoff   time.Duration // delay before a failed batch item is retried
+	HedgeMin       time.Duration // the shortest wait before a hedge; negative disables hedging
+	FirstTimeout   time.Duration // an attempt without any answer for this long is silent
+	TokenTimeout   time.Duration // a stream without a token for this long is silent
+	ServiceTimeout time.Duration // timeout for the answer of a plain service
+	StallMin       time.Duration // a stream without an event for this long is resumed over another connection; 0: never
+	PlaceWait      time.Duration // how long a request waits for the owner to acknowledge its slot; 0: no reservations
+	VerdictTimeout time.Duration // how long a request whose connection broke waits for the probe of its replica
+	ProbeAfter     time.Duration // an engine is probed when one of its streams is idle for this long
 	ProbeMin       time.Duration // first delay between probes of a suspect replica
 	ProbeMax       time.Duration // longest delay between probes
-	SlowStart      time.Duration // from the first request to the full load after a recovery
+	SlowStart      time.Duration // time from recovery until a replica receives its full load
 
-	Disabled Guards // for tests that show the failure each guard prevents
+	Disabled Guards // for tests that show the failure that each guard prevents
 }
 
-// Guards names protections that a test can switch off one by one.
+// Guards disables individual protections in tests.
 type Guards struct {
 	Leaving, Probe, Silence, Poison, Holder, Trial, Copies, Preempt, Yield, Feeder, Budget, Retry, Settle, Unfed, LateShare bool
 }
@@ -52,7 +52,7 @@
 // Defaults of Config.
 const (
 	defaultEntryLifetime  = 7 * time.Second
-	defaultStrikeLifetime = 10 * time.Minute
+	defaultCrashLifetime  = 10 * time.Minute
 	defaultReportLag      = 500 * time.Millisecond
 	defaultMaxQueue       = 1024
 	defaultOutageWait     = 2 * time.Second
@@ -86,7 +86,7 @@
 // WithDefaults returns a copy of c whose zero fields have their defaults.
 func (c Config) WithDefaults() Config {
 	orDefault(&c.EntryLifetime, defaultEntryLifetime)
-	orDefault(&c.StrikeLifetime, defaultStrikeLifetime)
+	orDefault(&c.CrashLifetime, defaultCrashLifetime)
 	orDefault(&c.ReportLag, defaultReportLag)
 	orDefault(&c.MaxQueue, defaultMaxQueue)
 	orDefault(&c.OutageWait, defaultOutageWait)
@@ -111,46 +111,46 @@
 	return c
 }
 
-// Policy says how batch work of a team shares replicas with online work.
+// Policy sets how a team's batch work shares replicas with online work.
 type Policy struct {
-	// Headroom is the share of a replica's slots beyond which no batch starts.
-	// Online work uses it up before any batch is preempted, so that single
-	// requests cost no preemption.
+	// Headroom is the share of a replica's slots in which no batch work starts. Online
+	// work uses these slots before any batch work is preempted, so that single requests
+	// cause no preemption.
 	Headroom float64 `json:"headroom"`
-	// MinFree is the number of slots that are kept free by preemption.
+	// MinFree is the number of slots that preemption keeps free.
 	MinFree int `json:"min_free"`
-	// Hold is how long a replica gets no new batch after a preemption.
+	// Hold is how long a replica receives no new batch work after a preemption.
 	Hold time.Duration `json:"hold"`
-	// Pack fills the fullest replica first; otherwise batch spreads thin.
+	// Pack fills the fullest replica first; otherwise batch work is spread evenly.
 	Pack bool `json:"pack,omitempty"`
 	// Victim chooses which batch request is preempted.
 	Victim Victim `json:"victim,omitempty"`
 }
 
-// Victim names a rule for choosing the batch request to preempt.
+// Victim is a rule that chooses the batch request to preempt.
 type Victim string
 
-// Rules for choosing.
+// Victim rules.
 const (
-	VictimNewest    Victim = "newest"     // the one that started last
-	VictimLeastWork Victim = "least_work" // the one with the fewest tokens generated
+	VictimNewest    Victim = "newest"     // the request that started last
+	VictimLeastWork Victim = "least_work" // the request with the fewest generated tokens
 )
 
-// ThroughputPolicy turns all idle slots into batch work; an online request
-// takes its slot back at once.
+// ThroughputPolicy uses every idle slot for batch work; an online request takes its
+// slot back at once.
 func ThroughputPolicy() Policy {
 	return Policy{Hold: 0, Victim: VictimLeastWork}
 }
 
-// TailPolicy keeps a slot of each replica free, so that an online request
-// finds one without waiting for a preemption, and starts no batch beyond three
-// quarters of the slots.
+// TailPolicy keeps one slot of each replica free, so that an online request finds a
+// slot without waiting for a preemption, and starts no batch work beyond three quarters
+// of the slots.
 func TailPolicy() Policy {
 	return Policy{Headroom: 0.25, MinFree: 1, Hold: 50 * time.Millisecond, Victim: VictimLeastWork}
 }
 
-// reserve gives the slots of a replica that new batch leaves free.
-func (p Policy) reserve(slots int) int {
+// headroomSlots returns the slots of a replica that new batch work leaves free.
+func (p Policy) headroomSlots(slots int) int {
 	share := int(p.Headroom*float64(slots) + 0.5)
 	return max(share, p.MinFree)
 }
--- a/internal/route/copies.go
+++ b/internal/route/copies.go
@@ -6,96 +6,96 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// copies is what is known of the requests with one fingerprint.
-type copies struct {
-	running int       // live attempts
-	awaited int       // requests whose replica is being probed
-	on      *replica  // of the latest dispatch
-	proven  time.Time // when one of them completed last
+// copyState tracks the requests that share a fingerprint.
+type copyState struct {
+	running       int       // live attempts
+	awaitingProbe int       // requests whose replica is being probed
+	lastReplica   *replica  // replica of the latest dispatch
+	completedAt   time.Time // when a copy last completed
 }
 
-// provenFor is how long the completion of a request vouches for its copies.
-const provenFor = time.Minute
+// completionLifetime is how long the completion of one request clears its copies.
+const completionLifetime = time.Minute
 
-// copyStarted counts a dispatch.
-func (s *Shard) copyStarted(print upstream.Fingerprint, on *replica) {
+// recordCopyStart counts a dispatch.
+func (s *Shard) recordCopyStart(print upstream.Fingerprint, on *replica) {
 	c := s.copiesOf(print)
 	c.running++
-	c.on = on
+	c.lastReplica = on
 }
 
-func (s *Shard) copiesOf(print upstream.Fingerprint) *copies {
+func (s *Shard) copiesOf(print upstream.Fingerprint) *copyState {
 	c := s.copies[print]
 	if c == nil {
-		c = &copies{}
+		c = &copyState{}
 		s.copies[print] = c
 	}
 	return c
 }
 
-// await holds a request's next attempt or final answer until the probe of its
-// replica tells whether the replica died of it. A caller that is answered
-// sooner could send a harmful request through another gate before that gate
-// knows of the death; copies that wait here are held for the same reason.
-func (s *Shard) await(req *request, r *replica) {
-	req.awaiting = r
-	req.since = s.at
-	s.copiesOf(req.Fingerprint).awaited++
+// awaitProbe delays a request's next attempt or final error until a probe shows whether
+// the replica's process died while running it. A caller that received its error sooner
+// could send a harmful request through another gate before that gate has the crash
+// record. Queued copies of the request wait for the same reason.
+func (s *Shard) awaitProbe(req *request, r *replica) {
+	req.awaitedReplica = r
+	req.awaitingSince = s.now
+	s.copiesOf(req.Fingerprint).awaitingProbe++
 }
 
-// settled ends the wait for a probe.
-func (s *Shard) settled(req *request) {
-	if req.awaiting == nil {
+// endAwait ends the wait for a probe.
+func (s *Shard) endAwait(req *request) {
+	if req.awaitedReplica == nil {
 		return
 	}
-	req.awaiting = nil
+	req.awaitedReplica = nil
 	c := s.copies[req.Fingerprint]
-	c.awaited--
+	c.awaitingProbe--
 	s.dropCopies(req.Fingerprint, c)
 }
 
-func (s *Shard) dropCopies(print upstream.Fingerprint, c *copies) {
-	if c.running == 0 && c.awaited == 0 && c.proven.IsZero() {
+func (s *Shard) dropCopies(print upstream.Fingerprint, c *copyState) {
+	if c.running == 0 && c.awaitingProbe == 0 && c.completedAt.IsZero() {
 		delete(s.copies, print)
 	}
 }
 
-// copyAwaited says whether it is being found out if a replica died of a copy of
-// the request.
-func (s *Shard) copyAwaited(req *request) bool {
+// isCopyAwaitingProbe reports whether a probe is under way to find out whether a copy
+// of the request crashed its replica.
+func (s *Shard) isCopyAwaitingProbe(req *request) bool {
 	c := s.copies[req.Fingerprint]
-	return c != nil && c.awaited > 0 && !s.config.Disabled.Copies
+	return c != nil && c.awaitingProbe > 0 && !s.config.Disabled.Copies
 }
 
-func (s *Shard) copyEnded(print upstream.Fingerprint) {
+func (s *Shard) recordCopyEnd(print upstream.Fingerprint) {
 	c := s.copies[print]
 	c.running--
 	s.dropCopies(print, c)
 }
 
-// copyProven notes that a request has completed. It is remembered only while
-// copies of it run, since most requests come once.
-func (s *Shard) copyProven(print upstream.Fingerprint) {
+// recordCompletion records that a request has completed. The time is kept only while
+// copies of the request exist, since most requests are sent once.
+func (s *Shard) recordCompletion(print upstream.Fingerprint) {
 	if c := s.copies[print]; c != nil {
-		c.proven = s.at
+		c.completedAt = s.now
 	}
 }
 
-// boundTo gives the replica that a request must share with a copy of it that
-// runs already; nil when it is free to go anywhere.
+// replicaOfCopy returns the replica on which a copy of the request already runs and
+// which the request must therefore use, or nil if it may use any.
 //
-// A caller that sends a harmful request many times at once would otherwise lose
-// as many replicas before the first death is noticed. Once one copy has
-// completed, the others are free.
-func (s *Shard) boundTo(req *request) *replica {
+// A caller that sends a harmful request many times at once could otherwise crash as
+// many replicas before the first crash is noticed. Once one copy has completed, the
+// others may run anywhere.
+func (s *Shard) replicaOfCopy(req *request) *replica {
 	c := s.copies[req.Fingerprint]
-	if c == nil || c.running == 0 || s.config.Disabled.Copies || s.at.Sub(c.proven) < provenFor {
+	if c == nil || c.running == 0 || s.config.Disabled.Copies || s.now.Sub(c.completedAt) < completionLifetime {
 		return nil
 	}
-	if !s.takesWork(c.on) {
-		return nil // leaving or frozen; of a dead one copyAwaited takes care
+	if !s.takesWork(c.lastReplica) {
+		return nil // leaving or frozen; isCopyAwaitingProbe covers a dead replica
 	}
-	return c.on
+	return c.lastReplica
 }
 
 func (s *Shard) runningCopies(print upstream.Fingerprint) int {
@@ -105,10 +105,10 @@
 	return 0
 }
 
-// expireCopies forgets completions that no longer vouch for anything.
+// expireCopies drops completions older than completionLifetime.
 func (s *Shard) expireCopies() {
 	for print, c := range s.copies {
-		if c.running == 0 && c.awaited == 0 && s.at.Sub(c.proven) >= provenFor {
+		if c.running == 0 && c.awaitingProbe == 0 && s.now.Sub(c.completedAt) >= completionLifetime {
 			delete(s.copies, print)
 		}
 	}
--- a/internal/route/dial_test.go
+++ b/internal/route/dial_test.go
@@ -9,13 +9,13 @@
 
 const longestDial = 700 * time.Millisecond
 
-// A replica loses its power. Callers whose requests are sent there see nothing for
-// as long as a connection may take at most, 0.7 s, twice what they find acceptable;
-// then their requests go elsewhere. Connections to all others take milliseconds.
+// Guards against requests that wait for the maximum dial time, 0.7 s, twice what
+// callers accept, when a replica has lost power. Connections to all other replicas take
+// milliseconds, so the limit must be far lower.
 func TestDialLimitFollowsTheConnectionsThatCame(t *testing.T) {
 	l := route.NewDialLimits(longestDial)
 	if got := l.Limit("a"); got != longestDial {
-		t.Errorf("before the first connection: %s", got)
+		t.Errorf("limit before the first connection: %s", got)
 	}
 	for range 50 {
 		l.Connected("a", 6*time.Millisecond)
@@ -25,8 +25,9 @@
 	}
 }
 
-// A link turns slow for good: each connection takes 0.3 s. Limits that only follow
-// connections which came in time would never let one come again.
+// Guards against a limit that never adapts to a link that has become slow for good,
+// with connections that take 0.3 s: a limit that follows only connections established
+// in time would never let one succeed again.
 func TestDialLimitIsLearnedAgain(t *testing.T) {
 	const slow = 300 * time.Millisecond
 	l := route.NewDialLimits(longestDial)
@@ -37,7 +38,7 @@
 	for l.Limit("far") < slow {
 		l.Missed("far")
 		if tries++; tries > 3 {
-			t.Fatalf("still %s after %d tries", l.Limit("far"), tries)
+			t.Fatalf("the limit is still %s after %d attempts", l.Limit("far"), tries)
 		}
 	}
 	for range 20 {
@@ -50,6 +51,6 @@
 		l.Missed("dark")
 	}
 	if got := l.Limit("dark"); got != longestDial {
-		t.Errorf("after many misses: %s", got)
+		t.Errorf("limit after many missed connections: %s", got)
 	}
 }
--- a/internal/route/failure.go
+++ b/internal/route/failure.go
@@ -11,18 +11,19 @@
 	if a == nil {
 		return
 	}
-	if a.handedTo != nil && in.Cause == CauseBroken {
-		a.broke = true // maybe since its run was stopped; what comes of that decides
+	if a.handoverTarget != nil && in.Cause == CauseBroken {
+		a.disconnected = true // possibly because its run was stopped; the HandedOver input decides
 		return
 	}
-	s.failed(a, in.Cause)
+	s.handleFailure(a, in.Cause)
 	s.pump()
 }
 
-// failed handles the end of an attempt without its answer.
-func (s *Shard) failed(a *attempt, cause FailureCause) {
-	req, r := a.req, a.on
-	s.end(a)
+// handleFailure ends an attempt that produced no answer, then retries or refuses its
+// request.
+func (s *Shard) handleFailure(a *attempt, cause FailureCause) {
+	req, r := a.req, a.replica
+	s.endAttempt(a)
 	if cause.notRun() {
 		req.tried--
 		req.declined++
@@ -30,35 +31,36 @@
 		req.maybeRan = true
 	}
 	req.avoidReplica(r.entry.Replica)
-	s.judge(r, cause)
+	s.updateHealth(r, cause)
 	if cause == CauseSilent || cause == CauseUnanswered || (cause == CauseBroken && len(req.live) > 0) {
-		// Not held back, and struck all the same if the replica proves dead.
-		r.orphans = append(r.orphans, req.Fingerprint)
+		// The request does not wait for the probe, but gets a crash record if the probe
+		// finds the process dead.
+		r.abandonedPrints = append(r.abandonedPrints, req.Fingerprint)
 	}
 	if len(req.live) > 0 {
 		return // a hedge still runs
 	}
 	if cause == CauseBroken && !s.config.Disabled.Poison {
-		s.await(req, r)
+		s.awaitProbe(req, r)
 	}
-	s.tryAgain(req, cause)
+	s.retryOrRefuse(req, cause)
 }
 
-// maxFailures is the number of failed attempts in a row after which a replica
-// stays out of use for a while, even if it answers probes. One that fails at
-// once would otherwise look idle and draw all requests to it.
+// maxFailures is the number of consecutive failed attempts after which a replica is
+// taken out of use for a while, even if it answers probes. A replica that fails at once
+// would otherwise look idle and attract all requests.
 const maxFailures = 3
 
-// judge draws conclusions about the replica from a failed attempt.
-func (s *Shard) judge(r *replica, cause FailureCause) {
+// updateHealth updates the health of a replica after a failed attempt.
+func (s *Shard) updateHealth(r *replica, cause FailureCause) {
 	if cause == CauseDeclined {
-		r.fullUntil = s.at.Add(fullPause)
+		r.fullUntil = s.now.Add(fullPause)
 		s.stale = true
 		return
 	}
 	if cause == CauseUnanswered {
-		// The connection has gone silent, which says little of the process: the probe
-		// tells whether that lives.
+		// A silent connection says little about the process; a probe shows whether it
+		// is alive.
 		s.suspectReplica(r, Evidence(cause))
 		s.emit(Reset{Replica: r.entry.Replica})
 		return
@@ -66,8 +68,8 @@
 	r.failures++
 	switch cause {
 	case CauseMisdirected:
-		// Its process has ended and another one has the address. The next
-		// announcement brings it back.
+		// The process has ended and another one uses its address. The next announcement
+		// returns the replica to use.
 		s.withdraw(r.entry.Replica, r.incarnation)
 		return
 	case CauseNotSent, CauseBroken, CauseSilent, CauseDied:
@@ -83,13 +85,13 @@
 	}
 }
 
-// tryAgain queues a request for its next attempt, or refuses it if it may not
-// have one.
-func (s *Shard) tryAgain(req *request, cause FailureCause) {
-	req.verdict = s.mayRetry(req, cause)
-	if req.verdict != nil {
-		if req.awaiting == nil {
-			s.refuse(req, req.verdict)
+// retryOrRefuse queues a request for its next attempt, or refuses it if it may not have
+// one.
+func (s *Shard) retryOrRefuse(req *request, cause FailureCause) {
+	req.heldError = s.retryError(req, cause)
+	if req.heldError != nil {
+		if req.awaitedReplica == nil {
+			s.refuse(req, req.heldError)
 			return
 		}
 		s.enqueue(req)
@@ -98,14 +100,15 @@
 	s.count(ReasonRetryPrefix + apierr.Reason(cause))
 	req.next = Retry
 	if req.Class == Batch {
-		req.notBefore = s.at.Add(s.config.BatchBackoff)
+		req.notBefore = s.now.Add(s.config.BatchBackoff)
 	}
 	s.enqueue(req)
 }
 
-// mayRetry allows a retry only when the request was provably not run or may be
-// repeated, and what was delivered can be continued.
-func (s *Shard) mayRetry(req *request, cause FailureCause) *apierr.Error {
+// retryError returns why the request may not be retried, or nil. A retry requires that
+// the request was provably not run or may be repeated, and that a partially delivered
+// answer can be resumed.
+func (s *Shard) retryError(req *request, cause FailureCause) *apierr.Error {
 	if s.config.Disabled.Retry {
 		return failedError(req, cause)
 	}
@@ -117,7 +120,7 @@
 			"send the request again if repeating it is harmless",
 			"the stream broke (%s) after part of it was delivered", cause).WithRan(apierr.RanUnknown)
 	}
-	if !s.at.Before(req.Deadline) {
+	if !s.now.Before(req.Deadline) {
 		return deadlineError(req)
 	}
 	if req.Patient {
@@ -126,27 +129,27 @@
 	if req.tried >= s.maxAttempts(req) || req.declined >= maxDeclined {
 		return apierr.New(apierr.BadUpstream, ReasonAttemptsSpent,
 			"see the counters by reason and the replicas' logs under the request ID",
-			"%d attempts failed, the last one by %s", req.tried+req.declined, cause).
+			"%d attempts failed, the last one with cause %s", req.tried+req.declined, cause).
 			WithRan(req.ran()).WithRetryAfter(time.Second)
 	}
 	if !s.budget.take(0) && !s.config.Disabled.Budget {
 		return apierr.New(apierr.Unavailable, ReasonRetryBudget,
-			"come back after the time given; many requests are failing",
-			"an attempt failed by %s and the retry budget is spent", cause).
+			"retry after the given time; many requests are failing",
+			"an attempt failed with cause %s and the retry budget is spent", cause).
 			WithRan(req.ran()).WithRetryAfter(time.Second)
 	}
 	return nil
 }
 
-// fullPause is how long a replica that declined a request gets no other: a slot
-// frees within a few steps of its engine, some tens of milliseconds.
+// fullPause is how long a replica that declined a request receives no other one. An
+// engine frees a slot within a few steps, some tens of milliseconds.
 const fullPause = 50 * time.Millisecond
 
-// maxDeclined bounds how often a request is declined or finds no process before
-// it is given up, so that a fleet without room is not asked over and over.
+// maxDeclined bounds how often a request may be declined or find no process before it
+// is refused, so that a full fleet is not asked repeatedly.
 const maxDeclined = 6
 
-// maxAttempts is how many replicas may run the request.
+// maxAttempts returns how many replicas may run the request.
 func (s *Shard) maxAttempts(req *request) int {
 	if req.MaxAttempts > 0 {
 		return req.MaxAttempts
@@ -157,5 +160,5 @@
 func failedError(req *request, cause FailureCause) *apierr.Error {
 	return apierr.New(apierr.BadUpstream, ReasonUpstreamFailed,
 		"the request is not marked repeatable: find out whether it ran before sending it again",
-		"the upstream failed by %s", cause).WithRan(req.ran())
+		"the upstream failed with cause %s", cause).WithRan(req.ran())
 }
--- a/internal/route/feeder.go
+++ b/internal/route/feeder.go
@@ -7,22 +7,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// feederOf names the gate that feeds a replica with batch: of the live gates
-// in the replica's place, or of all if there is none, the one with the highest
-// rendezvous score. One feeder for each replica means that one gate knows all
-// batch on it, and that no two gates fill the same free slot.
-func (s *Shard) feederOf(r *replica) string {
-	if feeder := bestGate(s.gates, r.entry.Place, string(r.entry.Replica)); feeder != "" {
-		return feeder
+// ownerOf returns the ID of the replica's owner gate, the only gate that starts batch
+// work on it: the live gate in the replica's place with the highest rendezvous score,
+// or the best of all gates if the place has none. With a single owner, one gate knows
+// all batch work on the replica, and no two gates fill the same free slot.
+func (s *Shard) ownerOf(r *replica) string {
+	if owner := bestGate(s.gates, r.entry.Place, string(r.entry.Replica)); owner != "" {
+		return owner
 	}
-	if feeder := bestGate(s.gates, "", string(r.entry.Replica)); feeder != "" {
-		return feeder
+	if owner := bestGate(s.gates, "", string(r.entry.Replica)); owner != "" {
+		return owner
 	}
 	return s.config.Self
 }
 
-// bestGate gives the gate with the highest score for the key; an empty place
-// stands for any.
+// bestGate returns the ID of the gate with the highest score for the key. An empty
+// place matches every gate.
 func bestGate(gates []Gate, place, key string) string {
 	best := ""
 	var bestScore uint64
@@ -38,40 +38,40 @@
 	return best
 }
 
-func (s *Shard) feeds(r *replica) bool {
-	return r.feeder == s.config.Self || s.config.Disabled.Feeder
+func (s *Shard) ownsReplica(r *replica) bool {
+	return r.owner == s.config.Self || s.config.Disabled.Feeder
 }
 
 func (in GatesChanged) apply(s *Shard) {
 	s.gates = slices.Clone(in.Gates)
-	s.expected = in.Expected
-	s.chooseFeeders()
+	s.expectedGates = in.Expected
+	s.assignOwners()
 	s.pump()
 }
 
-// chooseFeeders names the feeder of each replica anew.
+// assignOwners recomputes the owner of every replica.
 //
-// A gate that drains feeds nothing, also in its own eyes. It serves its callers for
-// seconds more, and if it took itself for the feeder, it would tell nobody of their
-// requests: the gates that have turned to another feeder would fill the same slots.
-func (s *Shard) chooseFeeders() {
+// A draining gate owns no replica. It still serves its callers for some seconds, and if
+// it considered itself the owner, it would not report those requests to the gates that
+// have switched to another owner, and these would fill the same slots.
+func (s *Shard) assignOwners() {
 	if s.draining && len(s.gates) > 1 {
 		s.gates = slices.DeleteFunc(s.gates, func(g Gate) bool { return g.ID == s.config.Self })
 	}
 	s.stale = true
 	for _, r := range s.replicas {
-		feeder := s.feederOf(r)
-		if feeder != r.feeder {
-			r.fedAt = time.Time{}  // the old feeder's word is void
-			r.toldAt = time.Time{} // and the new one has not been told
+		owner := s.ownerOf(r)
+		if owner != r.owner {
+			r.ownerReportAt = time.Time{} // the previous owner's report is obsolete
+			r.reportedAt = time.Time{}    // the new owner has no report of this gate's requests yet
 		}
-		r.feeder = feeder
-		if !s.feeds(r) {
+		r.owner = owner
+		if !s.ownsReplica(r) {
 			s.preemptAll(r)
 		}
-		r.usage = slices.DeleteFunc(r.usage, s.isVoid)
-		if len(r.attempts) > 0 || s.isPlacedOn(r) {
-			s.tellFeeder(r)
+		r.loadReports = slices.DeleteFunc(r.loadReports, s.isObsolete)
+		if len(r.attempts) > 0 || s.hasReservation(r) {
+			s.reportLoad(r)
 		}
 	}
 }
--- a/internal/route/handover.go
+++ b/internal/route/handover.go
@@ -2,48 +2,47 @@
 
 import "slices"
 
-// handOver asks for a stalled answer that may not run again to go on as the same
-// run: its engine stops it and keeps its memory, from which it goes on over another
-// connection.
+// handOver moves a stalled answer that may not run again: its engine stops the run and
+// keeps its memory, and the run continues over another connection.
 //
-// Failure guarded against: as for answers that can be resumed, a packet between
-// replica and gate is lost, and the text stands still until TCP sends it again. Sent
-// once more, the request would run twice. The engine copies the memory to another
-// replica, so that the answer goes on there, or where it was if that failed.
+// As with resumable answers, a packet between replica and gate was lost and the stream
+// stalls until TCP retransmits it. Sending the request again would run it twice. The
+// engine instead copies the memory to another replica, and the answer continues there,
+// or on the same replica if the copy failed.
 func (s *Shard) handOver(a *attempt) {
-	to := s.handOverTo(a)
+	to := s.chooseHandoverTarget(a)
 	if to == nil || !s.budget.take(hedgeReserve*s.config.RetryReserve*startShare) {
 		return
 	}
 	a.req.stalls++
 	s.count(ReasonHandOver)
-	s.askHandOver(a, to)
+	s.requestHandOver(a, to)
 }
 
-func (s *Shard) askHandOver(a *attempt, to *replica) {
-	a.handedTo = to
-	a.offeredTo = append(a.offeredTo, to)
-	s.emit(HandOver{ID: a.req.ID, Attempt: a.id, From: &a.on.entry.Announcement, To: &to.entry.Announcement})
+func (s *Shard) requestHandOver(a *attempt, to *replica) {
+	a.handoverTarget = to
+	a.handoverOffers = append(a.handoverOffers, to)
+	s.emit(HandOver{ID: a.req.ID, Attempt: a.id, From: &a.replica.entry.Announcement, To: &to.entry.Announcement})
 }
 
-// maxHandOvers bounds the replicas that a run is offered to. Each offer takes a round
-// trip; after some of them the lost packet has been sent again.
+// maxHandOvers bounds the replicas that are asked to take over a run. Each request
+// takes a round trip; after several of them TCP has retransmitted the lost packet.
 const maxHandOvers = 4
 
-// handOverTo gives the other replica with the most free slots, of the attempt's
-// place if there is one. The copy takes a slot, also from batch, which does not give
-// way to it.
-func (s *Shard) handOverTo(a *attempt) *replica {
+// chooseHandoverTarget returns the other replica with the most free slots, preferring
+// the attempt's place. The copy needs a free slot, because batch work is not preempted
+// for it.
+func (s *Shard) chooseHandoverTarget(a *attempt) *replica {
 	s.rebuild()
 	var best *replica
 	bestFree := 0
 	for _, list := range [...][]*replica{s.local, s.remote} {
 		for _, r := range list {
 			free := s.slots(r) - s.totalLoad(r)
-			if r.entry.Place != a.on.entry.Place {
-				free -= s.slots(r) // any of the place goes first
+			if r.entry.Place != a.replica.entry.Place {
+				free -= s.slots(r) // prefer any replica of the same place
 			}
-			mayTake := r != a.on && s.mayServe(a.req, r) && !slices.Contains(a.offeredTo, r)
+			mayTake := r != a.replica && s.mayServe(a.req, r) && !slices.Contains(a.handoverOffers, r)
 			if mayTake && (best == nil || free > bestFree) {
 				best, bestFree = r, free
 			}
@@ -55,31 +54,31 @@
 func (in HandedOver) apply(s *Shard) {
 	a := s.attempts[in.Attempt]
 	if a == nil {
-		return // it has ended meanwhile
+		return // the attempt has ended
 	}
-	to := a.handedTo
-	a.handedTo = nil
+	to := a.handoverTarget
+	a.handoverTarget = nil
 	switch {
 	case in.Memory != "":
-		s.goOn(a, to, in)
-	case a.broke:
-		s.failed(a, CauseBroken)
+		s.resumeRun(a, to, in)
+	case a.disconnected:
+		s.handleFailure(a, CauseBroken)
 		s.pump()
-	case in.NoRoom && len(a.offeredTo) < maxHandOvers && s.isOverdue(a):
-		if next := s.handOverTo(a); next != nil {
-			s.askHandOver(a, next)
+	case in.NoRoom && len(a.handoverOffers) < maxHandOvers && s.isIdle(a):
+		if next := s.chooseHandoverTarget(a); next != nil {
+			s.requestHandOver(a, next)
 		}
 	}
 }
 
-// goOn goes on with a run that was stopped.
-func (s *Shard) goOn(a *attempt, to *replica, in HandedOver) {
-	req, on := a.req, a.on
+// resumeRun continues a stopped run.
+func (s *Shard) resumeRun(a *attempt, to *replica, in HandedOver) {
+	req, target := a.req, a.replica
 	if in.Copied && s.takesWork(to) {
-		on = to
+		target = to
 	}
 	s.cancel(a, CancelStalled)
-	req.tried-- // the same run
+	req.tried-- // the run continues, so it is not a further attempt
 	req.maybeRan = true
-	s.dispatchFrom(req, on, Resume, in.Memory)
+	s.dispatchFrom(req, target, Resume, in.Memory)
 }
--- a/internal/route/hedge.go
+++ b/internal/route/hedge.go
@@ -7,18 +7,17 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// hedgeReserve is the part of the retry budget that hedges leave to retries.
+// hedgeReserve is the share of the retry budget that hedges leave to retries.
 const hedgeReserve = 0.5
 
-// checkHedges sends a second attempt for repeatable requests whose first token
-// is later than nearly all others were: their connection may have gone silent,
-// or their engine may be frozen or slow. The first attempt goes on, so that a
-// slow one is not lost.
+// checkHedges starts a second attempt for repeatable requests whose first token takes
+// longer than nearly all others: the connection may be silent, or the engine frozen or
+// slow. The first attempt continues, in case it is only slow.
 func (s *Shard) checkHedges() {
-	if s.config.HedgeMin < 0 || s.firstToken.mean == 0 {
+	if s.config.HedgeMin < 0 || s.firstTokenTime.mean == 0 {
 		return
 	}
-	after := max(s.config.HedgeMin, s.firstToken.high())
+	after := max(s.config.HedgeMin, s.firstTokenTime.upperBound())
 	for _, r := range s.replicas {
 		for _, a := range slices.Clone(r.attempts) {
 			if s.mayHedge(a, after) {
@@ -31,8 +30,8 @@
 func (s *Shard) mayHedge(a *attempt, after time.Duration) bool {
 	req := a.req
 	return req.Class == Online && req.Repeatable && !req.delivered && a.tokens == 0 &&
-		len(req.live) == 1 && req.tried < s.maxAttempts(req) && s.at.Sub(a.started) >= after &&
-		s.strikes.Standing(s.at, req.Fingerprint) == upstream.StandingClear
+		len(req.live) == 1 && req.tried < s.maxAttempts(req) && s.now.Sub(a.started) >= after &&
+		s.crashes.Standing(s.now, req.Fingerprint) == upstream.StandingClear
 }
 
 func (s *Shard) hedge(req *request, slow *replica) {
--- a/internal/route/late.go
+++ b/internal/route/late.go
@@ -1,43 +1,43 @@
 package route
 
-// lateShare is the part of the slots that late requests may use: one in so many.
-const lateShare = 2
+// overdueShare limits overdue requests to one in this many slots.
+const overdueShare = 2
 
-// mayStartLate says whether a late request may start beside those that run here.
+// mayStartOverdue reports whether this gate may run another request that is past its
+// target.
 //
-// It answers the load after an outage of all gates. Thousands of callers come back
-// at once, all of them late, and gates that have just started do not know of each
-// other's requests: together they fill all slots, and the callers who come next,
-// whose answers could still be in time, wait behind them. Each gate therefore runs
-// no more late requests than its share of a part of the slots. An answer that has
-// lost its use loses little by waiting longer.
-func (s *Shard) mayStartLate() bool {
-	return s.config.Disabled.LateShare || s.lateRunning() < s.latePlaces()
+// After an outage of all gates, thousands of callers return at once, all overdue, and
+// restarted gates do not yet know of each other's requests. Together they would fill
+// all slots, and new callers, who could still be answered in time, would wait behind
+// them. Each gate therefore limits overdue requests to its share of a part of the
+// slots. An answer that has missed its target loses little by waiting longer.
+func (s *Shard) mayStartOverdue() bool {
+	return s.config.Disabled.LateShare || s.countOverdueRunning() < s.maxOverdueRunning()
 }
 
-func (s *Shard) lateRunning() int {
+func (s *Shard) countOverdueRunning() int {
 	count := 0
 	for _, a := range s.attempts {
-		if a.req.late && a.req.Class == Online {
+		if a.req.overdue && a.req.Class == Online {
 			count++
 		}
 	}
-	for _, p := range s.placing {
-		if p.req.late {
+	for _, p := range s.reservations {
+		if p.req.overdue {
 			count++
 		}
 	}
 	return count
 }
 
-// latePlaces gives how many late requests may run at this gate at a time.
-func (s *Shard) latePlaces() int {
+// maxOverdueRunning returns how many overdue requests may run at this gate at a time.
+func (s *Shard) maxOverdueRunning() int {
 	slots := 0
 	for _, r := range s.replicas {
 		if r.entry.Ready && !r.entry.Leaving {
 			slots += s.slots(r)
 		}
 	}
-	gates := max(1, len(s.gates), s.expected)
-	return max(1, slots/lateShare/gates)
+	gates := max(1, len(s.gates), s.expectedGates)
+	return max(1, slots/overdueShare/gates)
 }
--- a/internal/route/meter.go
+++ b/internal/route/meter.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// delayMeter estimates a high quantile of a delay as mean plus four deviations,
-// the way TCP estimates its retransmission timeout (RFC 6298).
+// delayMeter estimates a high quantile of a delay as its mean plus four deviations, as
+// TCP does for its retransmission timeout (RFC 6298).
 type delayMeter struct {
 	mean, deviation time.Duration
 }
@@ -25,17 +25,17 @@
 	m.mean += (d - m.mean) >> meanShift
 }
 
-func (m *delayMeter) high() time.Duration { return m.mean + deviations*m.deviation }
+func (m *delayMeter) upperBound() time.Duration { return m.mean + deviations*m.deviation }
 
-// highWater follows the highest value of a count over a sliding time of one to
-// two windows.
+// highWater tracks the highest value of a count over a sliding time of one to two
+// windows.
 type highWater struct {
 	start             time.Time
 	current, previous int
 	last              int
 }
 
-// observe takes in a value of the count and returns the highest of the window.
+// observe records a value of the count and returns the highest of the window.
 func (h *highWater) observe(now time.Time, window time.Duration, value int) int {
 	switch elapsed := now.Sub(h.start); {
 	case h.start.IsZero() || elapsed >= 2*window:
@@ -49,13 +49,13 @@
 	return max(h.current, h.previous)
 }
 
-// retryBudget allows retries as a share of the offered requests. Without it,
-// retries of a failing fleet would multiply the load that makes it fail.
+// retryBudget allows retries as a share of the offered requests. Without it, retries
+// during a partial failure would multiply the load that causes it.
 type retryBudget struct {
 	share, reserve, tokens float64
 }
 
-// startShare is the part of the reserve that a new budget has.
+// startShare is the share of the reserve that a new budget starts with.
 const startShare = 0.2
 
 func newRetryBudget(share, reserve float64) retryBudget {
@@ -64,7 +64,7 @@
 
 func (b *retryBudget) offered() { b.tokens = min(b.tokens+b.share, b.reserve) }
 
-// take spends a token if more than keep of them are left.
+// take spends a token if it leaves at least keep tokens, and reports whether it did.
 func (b *retryBudget) take(keep float64) bool {
 	if b.tokens < keep+1 {
 		return false
@@ -79,7 +79,7 @@
 	tokens float64
 }
 
-// take spends a token; if there is none it returns how long until there is.
+// take spends a token, or returns how long to wait for one.
 func (b *tokenBucket) take(now time.Time, rate float64, burst int) time.Duration {
 	limit := float64(max(burst, 1))
 	if b.last.IsZero() {
--- a/internal/route/pick.go
+++ b/internal/route/pick.go
@@ -2,38 +2,39 @@
 
 import "slices"
 
-// sampleTries bounds the random draws for one candidate before the list is
-// scanned; it fails only when most replicas do not fit the request.
+// sampleTries bounds the random draws for one candidate before the list is scanned; the
+// draws fail only when most replicas do not fit the request.
 const sampleTries = 6
 
-// pick chooses the replica for an online attempt; nil when none has room.
+// pick returns the replica for an online attempt, or nil if none has room.
 //
-// The order is: the replica that the prompt's prefix prefers if its load is
-// near that of the sampled one, the less loaded of two samples of the own
-// place, and another place if the own is loaded and the other clearly less.
+// In order of preference: the replica preferred by the prompt's prefix if its load is
+// near that of the sampled one, the less loaded of two samples from the gate's own
+// place, and a replica of another place if the own place is loaded and the other
+// replica clearly less so.
 func (s *Shard) pick(req *request) *replica {
 	s.rebuild()
 	chosen := s.sampleTwo(req, s.local)
-	if preferred := s.affine(req, chosen); preferred != nil {
+	if preferred := s.affinityReplica(req, chosen); preferred != nil {
 		return preferred
 	}
-	if chosen != nil && s.ratio(chosen) < s.config.SpillAt {
+	if chosen != nil && s.loadRatio(chosen) < s.config.SpillAt {
 		return chosen
 	}
-	chosen = s.spill(chosen, s.sampleTwo(req, s.remote))
+	chosen = s.chooseSpill(chosen, s.sampleTwo(req, s.remote))
 	if chosen != nil && !s.hasSlot(chosen) {
-		// The request would wait in an engine's queue; two samples may both be
-		// full while another replica is not.
+		// The request would wait in an engine's queue; both samples may be full while
+		// another replica is not.
 		return s.leastLoaded(req, chosen)
 	}
 	return chosen
 }
 
-// leastLoaded looks at all replicas for one that is less loaded than chosen.
+// leastLoaded scans all replicas for one with less load than chosen.
 func (s *Shard) leastLoaded(req *request, chosen *replica) *replica {
 	for _, list := range [...][]*replica{s.local, s.remote} {
 		for _, r := range list {
-			if s.ratio(r) < s.ratio(chosen) && s.fits(req, r) {
+			if s.loadRatio(r) < s.loadRatio(chosen) && s.fits(req, r) {
 				chosen = r
 			}
 		}
@@ -41,13 +42,13 @@
 	return chosen
 }
 
-func (s *Shard) spill(near, far *replica) *replica {
+func (s *Shard) chooseSpill(near, far *replica) *replica {
 	switch {
 	case far == nil:
 		return near
 	case near == nil:
 		return far
-	case s.ratio(far)+s.config.SpillPenalty < s.ratio(near):
+	case s.loadRatio(far)+s.config.SpillPenalty < s.loadRatio(near):
 		return far
 	default:
 		return near
@@ -61,14 +62,14 @@
 		return nil
 	}
 	second := s.sample(req, from, first)
-	if second != nil && s.ratio(second) < s.ratio(first) {
+	if second != nil && s.loadRatio(second) < s.loadRatio(first) {
 		return second
 	}
 	return first
 }
 
-// sample draws a replica that fits, other than not. When a few draws find
-// none, it scans from a random place on.
+// sample draws a replica that fits and is not equal to not. If a few draws find none,
+// it scans the list from a random position.
 func (s *Shard) sample(req *request, from []*replica, not *replica) *replica {
 	if len(from) == 0 {
 		return nil
@@ -87,28 +88,28 @@
 	return nil
 }
 
-// fits says whether the replica may run the request now.
+// fits reports whether the replica may run the request now.
 func (s *Shard) fits(req *request, r *replica) bool {
 	if !s.mayServe(req, r) {
 		return false
 	}
-	if s.mayAsk(req, r) {
-		return !s.isSuspect(req) || !s.sharesTrial(r)
+	if s.mayReserveOnFull(req, r) {
+		return !s.isSuspect(req) || !s.hasTrial(r)
 	}
 	if !s.hasRoom(r) {
 		return false
 	}
-	if req.late && !s.hasSlot(r) {
-		// It waits here: in the engine's queue, which admits in the order of
-		// arrival, one that can be in time would stand behind it.
+	if req.overdue && !s.hasSlot(r) {
+		// An overdue request waits in the gate: in the engine's queue, which admits in
+		// order of arrival, it would delay requests that can still meet their targets.
 		return false
 	}
-	return !s.isSuspect(req) || !s.sharesTrial(r)
+	return !s.isSuspect(req) || !s.hasTrial(r)
 }
 
-// serves says whether the replica is of the kind that the request is for and
-// has its model. A call to a plain service must never reach an engine, where its
-// path could be an order.
+// serves reports whether the replica has the kind and the model that the request needs.
+// A call to a plain service must never reach an engine, where its path could be a
+// command.
 func (r *replica) serves(req *request) bool {
 	if req.Kind != "" && req.Kind != r.entry.Kind {
 		return false
@@ -116,8 +117,8 @@
 	return r.entry.Serves(req.Model, req.Version)
 }
 
-// mayServe says whether the replica has the model and has not failed the
-// request before.
+// mayServe reports whether the replica can run the request and has not failed it
+// before.
 func (s *Shard) mayServe(req *request, r *replica) bool {
 	if !r.serves(req) {
 		return false
@@ -128,18 +129,18 @@
 	return !slices.Contains(req.avoid, r.entry.Replica)
 }
 
-// affine gives the replica that the request's prefix prefers, so that prompts
-// with a common start meet in one cache. The bound on its load, relative to a
+// affinityReplica returns the replica preferred by the request's prefix, so that
+// prompts with a common start share one cache. The bound on its load, relative to a
 // sampled replica, keeps a popular prefix from overloading one replica.
-func (s *Shard) affine(req *request, sampled *replica) *replica {
+func (s *Shard) affinityReplica(req *request, sampled *replica) *replica {
 	if req.Prefix == 0 || sampled == nil {
 		return nil
 	}
-	bound := s.ratio(sampled) + s.config.AffinityBound
+	bound := s.loadRatio(sampled) + s.config.AffinityBound
 	var best, second *replica
 	var bestScore, secondScore uint64
 	for _, r := range s.local {
-		score := mix(req.Prefix, r.hash)
+		score := rendezvousScore(req.Prefix, r.hash)
 		if s.hints.Holds(r.entry.Replica, req.Prefix) {
 			score |= 1 << 63
 		} else {
@@ -154,26 +155,27 @@
 		}
 	}
 	for i, r := range [...]*replica{best, second} {
-		if r != nil && i < s.config.AffinityTries && s.hasSlot(r) && s.ratio(r) <= bound && s.fits(req, r) {
+		if r != nil && i < s.config.AffinityTries && s.hasSlot(r) && s.loadRatio(r) <= bound && s.fits(req, r) {
 			return r
 		}
 	}
 	return nil
 }
 
-// mix scores a replica for a key; the highest score wins (rendezvous hashing).
-func mix(key, replica uint64) uint64 {
+// rendezvousScore returns a replica's score for a key; the highest score wins
+// (rendezvous hashing).
+func rendezvousScore(key, replica uint64) uint64 {
 	const prime = 0x9E3779B185EBCA87
 	h := (replica ^ key) * prime
 	return h ^ h>>29
 }
 
-// readiness says whether any replica has a request's model.
+// readiness is whether any replica can run a request's model.
 type readiness int
 
 const (
-	unknownModel readiness = iota // no replica has it
-	noneReady                     // some have it, and none takes work now
+	unknownModel readiness = iota // no replica has the model
+	noneReady                     // some have it, but none takes work now
 	someReady
 )
 
--- a/internal/route/place.go
+++ b/internal/route/place.go
@@ -5,188 +5,197 @@
 	"time"
 )
 
-// Placing: an online request is sent to a replica that another gate feeds only
-// once that gate has confirmed a slot there. It answers the load of traffic that
-// comes in steps to many gates at once.
+// Reservations: an online request is sent to a replica that another gate owns only
+// after the owner has acknowledged a slot there. They handle load that rises in steps
+// at many gates at once.
 //
-// Failure guarded against: each gate sees a share of the requests and hears of the
-// others' only when it uses a replica itself. At the start of a step several gates
-// take the same slot, or go to another place whose replicas they know nothing of;
-// those who come second wait in the engine's queue for as long as an answer takes,
-// while replicas beside it have slots. The feeding gate hears of each request
-// before it is sent, so that its word, a round trip away, counts them all.
-
-// placing is a request that waits for the word of the gate that feeds its replica.
-type placing struct {
-	req   *request
-	on    *replica
-	since time.Time
-	word  uint64 // by which the feeder is told of it
+// Each gate sees only a share of the requests, and learns of the other gates' requests
+// on a replica only when it uses that replica itself. Without reservations, several
+// gates would take the same slot when load rises, or send requests to another place
+// about whose replicas they have no reports; the later requests would wait in the
+// engine's queue for the time of an answer while other replicas have free slots. The
+// owner learns of each request before it is sent, so its acknowledgement, one round
+// trip away, counts them all.
+
+// reservation is a request that waits for the owner of its replica to acknowledge its
+// slot.
+type reservation struct {
+	req          *request
+	replica      *replica
+	since        time.Time
+	reportNumber uint64 // the load report that includes the request
 }
 
 const (
-	// maxPlaces bounds the replicas that are asked for one request.
-	maxPlaces = 4
-	// lightLoad is the share of a replica's slots up to which a fresh word suffices:
-	// what the gates may send until the next word does not fill the rest.
+	// maxReservations bounds the replicas whose owners are asked for a slot for one
+	// request.
+	maxReservations = 4
+	// lightLoad is the share of a replica's slots up to which a fresh owner report
+	// suffices without a reservation: what the gates may send before the next report
+	// does not fill the rest.
 	lightLoad = 0.5
-	// freshWord is how long the word on a lightly loaded replica suffices.
-	freshWord = 100 * time.Millisecond
-	// oldWord is how old a word is that is asked for anew: some of the answers that ran
-	// then have ended. It also bounds how often a gate asks in vain.
-	oldWord = 250 * time.Millisecond
-	// wordLifetime is how long a word says more of a replica than the words on the
-	// others: about the time of an answer, after which other requests run there.
-	wordLifetime = time.Second
+	// freshReportAge is how long an owner report on a lightly loaded replica suffices.
+	freshReportAge = 100 * time.Millisecond
+	// staleReportAge is the age from which a new owner report is requested although the
+	// replica seems full: some of the requests that ran then have ended. It also bounds
+	// how often a gate asks without success.
+	staleReportAge = 250 * time.Millisecond
+	// ownerReportLifetime is how long an owner report estimates a replica better than
+	// the reports on the others do. It is about the time of an answer, after which the
+	// replica runs other requests.
+	ownerReportLifetime = time.Second
 )
 
-// mustConfirm says whether the request waits for the word of the replica's feeder.
-func (s *Shard) mustConfirm(req *request, r *replica) bool {
-	if s.config.PlaceWait <= 0 || s.feeds(r) || req.places >= maxPlaces || s.at.Before(r.unresponsiveUntil) {
+// needsReservation reports whether the request must wait for the replica's owner to
+// acknowledge a slot.
+func (s *Shard) needsReservation(req *request, r *replica) bool {
+	if s.config.PlaceWait <= 0 || s.ownsReplica(r) || req.reservationTries >= maxReservations || s.now.Before(r.ownerUnresponsiveUntil) {
 		return false
 	}
-	fresh := !r.fedAt.IsZero() && s.at.Sub(r.fedAt) < freshWord
+	fresh := !r.ownerReportAt.IsZero() && s.now.Sub(r.ownerReportAt) < freshReportAge
 	return !fresh || s.onlineLoad(r) > int(lightLoad*float64(s.slots(r)))
 }
 
-// mayAsk says whether the replica's feeder may be asked for a slot although the
-// replica is believed to be full.
+// mayReserveOnFull reports whether the replica's owner may be asked for a slot although
+// the replica seems to be full.
 //
-// Failure guarded against: the word on a replica comes only with this gate's own
-// changes there. A gate that takes all replicas for full makes no changes, so that its
-// callers wait beside slots that have been free for long.
-func (s *Shard) mayAsk(req *request, r *replica) bool {
-	if !s.mustConfirm(req, r) || s.at.Before(r.fullUntil) {
+// Owner reports on a replica arrive only after this gate changes its own load there. A
+// gate that considers all replicas full changes nothing, and its callers would keep
+// waiting while slots are free.
+func (s *Shard) mayReserveOnFull(req *request, r *replica) bool {
+	if !s.needsReservation(req, r) || s.now.Before(r.fullUntil) {
 		return false
 	}
-	return s.at.Sub(r.fedAt) >= oldWord && s.at.Sub(r.toldAt) >= oldWord
+	return s.now.Sub(r.ownerReportAt) >= staleReportAge && s.now.Sub(r.reportedAt) >= staleReportAge
 }
 
-// place takes a slot of the replica for the request and tells the feeder.
-func (s *Shard) place(req *request, r *replica) {
-	req.places++
-	s.countOn(r, Online, 1)
-	s.placing = append(s.placing, placing{req: req, on: r, since: s.at, word: r.word})
+// reserve takes a slot of the replica for the request and reports it to the owner.
+func (s *Shard) reserve(req *request, r *replica) {
+	req.reservationTries++
+	s.addLoad(r, Online, 1)
+	s.reservations = append(s.reservations, reservation{req: req, replica: r, since: s.now, reportNumber: r.reportNumber})
 }
 
-// withdrawPlace gives the slot back of a request that is given up.
-func (s *Shard) withdrawPlace(req *request) {
-	i := slices.IndexFunc(s.placing, func(p placing) bool { return p.req == req })
+// cancelReservation releases the slot of a request that is removed.
+func (s *Shard) cancelReservation(req *request) {
+	i := slices.IndexFunc(s.reservations, func(p reservation) bool { return p.req == req })
 	if i < 0 {
 		return
 	}
-	p := s.placing[i]
-	s.unplace(p)
-	s.tellFeeder(p.on)
+	p := s.reservations[i]
+	s.release(p)
+	s.reportLoad(p.replica)
 }
 
-// unplace ends the wait of a request. The feeder is not told that the slot is free:
-// mostly the request is sent there in the same step.
-func (s *Shard) unplace(p placing) {
-	s.placing = slices.DeleteFunc(s.placing, func(other placing) bool { return other.req == p.req })
-	p.on.online--
+// release ends a reservation. It does not notify the owner, because the request is
+// usually sent to the replica in the same step.
+func (s *Shard) release(p reservation) {
+	s.reservations = slices.DeleteFunc(s.reservations, func(other reservation) bool { return other.req == p.req })
+	p.replica.online--
 	s.onlineRunning--
 }
 
-// confirmed looks at the requests that waited for the answer to a word on the
-// replica, or to one before it.
-func (s *Shard) confirmed(r *replica, answered uint64) {
-	for _, p := range s.placedOn(r, answered) {
+// handleAcknowledgement handles the reservations on the replica that the acknowledged
+// load report, or one before it, included.
+func (s *Shard) handleAcknowledgement(r *replica, answered uint64) {
+	for _, p := range s.reservationsOn(r, answered) {
 		switch {
 		case !s.takesWork(r):
-			s.placeElsewhere(p)
+			s.reserveElsewhere(p)
 		case s.onlineLoad(r) > s.slots(r):
-			s.count(ReasonPlaceTaken)
-			s.placeElsewhere(p)
+			s.count(ReasonSlotTaken)
+			s.reserveElsewhere(p)
 		default:
-			s.sendPlaced(p)
+			s.sendReserved(p)
 		}
 	}
 }
 
-func (s *Shard) placedOn(r *replica, answered uint64) []placing {
-	var found []placing
-	for _, p := range s.placing {
-		if p.on == r && p.word <= answered {
+func (s *Shard) reservationsOn(r *replica, answered uint64) []reservation {
+	var found []reservation
+	for _, p := range s.reservations {
+		if p.replica == r && p.reportNumber <= answered {
 			found = append(found, p)
 		}
 	}
 	return found
 }
 
-func (s *Shard) isPlacedOn(r *replica) bool {
-	return slices.ContainsFunc(s.placing, func(p placing) bool { return p.on == r })
+func (s *Shard) hasReservation(r *replica) bool {
+	return slices.ContainsFunc(s.reservations, func(p reservation) bool { return p.replica == r })
 }
 
-func (s *Shard) sendPlaced(p placing) {
-	s.unplace(p)
-	s.dispatch(p.req, p.on, p.req.next)
+func (s *Shard) sendReserved(p reservation) {
+	s.release(p)
+	s.dispatch(p.req, p.replica, p.req.next)
 }
 
-// placeElsewhere looks for another replica, by what is known of them now.
-func (s *Shard) placeElsewhere(p placing) {
-	s.unplace(p)
-	s.tellFeeder(p.on)
+// reserveElsewhere chooses another replica by what is known now.
+func (s *Shard) reserveElsewhere(p reservation) {
+	s.release(p)
+	s.reportLoad(p.replica)
 	if s.startOnline(p.req) != started {
 		s.enqueue(p.req)
 	}
 }
 
-// checkPlaces sends the requests whose feeder does not answer: a gate that has
-// stopped or frozen must not hold up the others' requests. For a while it is not
-// waited for again.
-func (s *Shard) checkPlaces() {
-	for _, p := range slices.Clone(s.placing) {
-		waited := s.at.Sub(p.since)
+// checkReservations sends the requests whose owner does not answer, so that a gate that
+// has stopped or frozen does not delay the requests of other gates. For a while, no
+// request waits for that owner.
+func (s *Shard) checkReservations() {
+	for _, p := range slices.Clone(s.reservations) {
+		waited := s.now.Sub(p.since)
 		switch {
-		case !s.takesWork(p.on):
-			s.placeElsewhere(p)
-		case s.feeds(p.on): // since a moment ago
-			s.sendPlaced(p)
+		case !s.takesWork(p.replica):
+			s.reserveElsewhere(p)
+		case s.ownsReplica(p.replica): // this gate has just become the owner
+			s.sendReserved(p)
 		case waited >= s.config.PlaceWait:
-			p.on.unresponsiveUntil = s.at.Add(unresponsiveTime)
-			s.count(ReasonPlaceUnconfirmed)
-			s.sendPlaced(p)
+			p.replica.ownerUnresponsiveUntil = s.now.Add(ownerUnresponsiveTime)
+			s.count(ReasonSlotUnconfirmed)
+			s.sendReserved(p)
 		}
 	}
 }
 
-// unresponsiveTime is how long a feeder that did not answer is not waited for.
-const unresponsiveTime = time.Second
+// ownerUnresponsiveTime is how long requests do not wait for an owner that failed to
+// answer.
+const ownerUnresponsiveTime = time.Second
 
-// expectedOnline estimates the online requests of other gates on a replica of which
-// there is no recent word: as many for each slot as on those with one.
-func (s *Shard) expectedOnline(r *replica) int {
-	s.sumKnown()
-	if s.known.slots == 0 {
+// estimateOthersOnline estimates other gates' online requests on a replica without a
+// recent owner report, assuming as many per slot as on the replicas with one.
+func (s *Shard) estimateOthersOnline(r *replica) int {
+	s.sumOthersReported()
+	if s.othersReported.slots == 0 {
 		return r.unaccounted
 	}
-	return (s.known.online*s.slots(r) + s.known.slots/2) / s.known.slots
+	return (s.othersReported.online*s.slots(r) + s.othersReported.slots/2) / s.othersReported.slots
 }
 
-// knownLoad sums the online requests of other gates on the replicas of which there
-// is a recent word.
-type knownLoad struct {
+// reportedLoad is the sum of other gates' online requests over the replicas with a
+// recent owner report.
+type reportedLoad struct {
 	at            time.Time
 	online, slots int
 }
 
-// sumKnown brings the sum up to date, once for each input.
-func (s *Shard) sumKnown() {
-	if s.known.at.Equal(s.at) {
+// sumOthersReported updates the sum, once per input.
+func (s *Shard) sumOthersReported() {
+	if s.othersReported.at.Equal(s.now) {
 		return
 	}
-	s.known = knownLoad{at: s.at}
+	s.othersReported = reportedLoad{at: s.now}
 	for _, r := range s.replicas {
-		if r.listed && s.knows(r) {
-			online, _ := s.foreign(r)
-			s.known.online += online
-			s.known.slots += s.slots(r)
+		if r.candidate && s.hasRecentReport(r) {
+			online, _ := s.othersLoad(r)
+			s.othersReported.online += online
+			s.othersReported.slots += s.slots(r)
 		}
 	}
 }
 
-// knows says whether what is known of others' requests on the replica is recent.
-func (s *Shard) knows(r *replica) bool {
-	return s.feeds(r) || (!r.fedAt.IsZero() && s.at.Sub(r.fedAt) < wordLifetime)
+// hasRecentReport reports whether the information about other gates' requests on the
+// replica is recent.
+func (s *Shard) hasRecentReport(r *replica) bool {
+	return s.ownsReplica(r) || (!r.ownerReportAt.IsZero() && s.now.Sub(r.ownerReportAt) < ownerReportLifetime)
 }
--- a/internal/route/poison.go
+++ b/internal/route/poison.go
@@ -9,21 +9,21 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// suspectRetryAfter is how long a caller waits while another gate finds out
-// whether its request kills replicas.
+// suspectRetryAfter is how long a caller waits while another gate finds out whether its
+// request crashes replicas.
 const suspectRetryAfter = time.Second
 
-// checkStanding refuses requests that replicas have died of.
+// checkStanding returns an error for requests that have crashed replicas.
 //
-// A request that crashes each replica that runs it, sent again and again,
-// would take the fleet down one replica at a time. After the first death only
-// one gate may try it, on one replica at a time; after the second it is
-// refused for good, before it reaches any replica.
+// A request that crashes every replica that runs it would take down the fleet one
+// replica at a time if it were sent repeatedly. After the first crash only one gate may
+// try it, on one replica at a time; after the second it is refused permanently, before
+// it reaches any replica.
 func (s *Shard) checkStanding(req *request) *apierr.Error {
 	if s.config.Disabled.Poison || req.Patient {
 		return nil
 	}
-	switch s.strikes.Standing(s.at, req.Fingerprint) {
+	switch s.crashes.Standing(s.now, req.Fingerprint) {
 	case upstream.StandingCondemned:
 		return s.poisonError(req)
 	case upstream.StandingSuspect:
@@ -34,18 +34,18 @@
 }
 
 func (s *Shard) poisonError(req *request) *apierr.Error {
-	struck := s.strikes.Struck(s.at, req.Fingerprint)
+	crashed := s.crashes.Struck(s.now, req.Fingerprint)
 	return apierr.New(apierr.Refused, ReasonPoison,
 		"change the request: sending it again does not help",
-		"replicas died while they ran this request: %s", fmt.Sprint(struck)).WithRan(req.ran())
+		"replicas died while they ran this request: %s", fmt.Sprint(crashed)).WithRan(req.ran())
 }
 
 func (s *Shard) checkHolder(req *request) *apierr.Error {
 	if s.config.Disabled.Holder {
 		return nil
 	}
-	able := func(gate string) bool { return s.isLive(gate) && s.mayTry(gate, req) }
-	holder := s.strikes.Holder(s.at, req.Fingerprint, able)
+	able := func(gate string) bool { return s.isLiveGate(gate) && s.mayStartAt(gate, req) }
+	holder := s.crashes.Holder(s.now, req.Fingerprint, able)
 	if holder == "" {
 		gates := slices.DeleteFunc(slices.Clone(s.gates), func(g Gate) bool { return !able(g.ID) })
 		holder = bestGate(gates, "", fmt.Sprint(uint64(req.Fingerprint)))
@@ -54,79 +54,80 @@
 		return nil
 	}
 	return apierr.New(apierr.Unavailable, ReasonSuspect,
-		"come back after the time given, when it is known whether the request is harmful",
-		"a replica died while it ran this request; gate %s alone may try it again", holder).
+		"retry after the given time, when it is known whether the request is harmful",
+		"a replica died while it ran this request; only gate %s may try it again", holder).
 		WithRan(req.ran()).WithRetryAfter(suspectRetryAfter)
 }
 
-// mayTry says whether a gate can start the request: items start only at the gate that
-// feeds a replica for them.
-func (s *Shard) mayTry(gate string, req *request) bool {
+// mayStartAt reports whether a gate can start the request: batch items start only at a
+// gate that owns a replica for them.
+func (s *Shard) mayStartAt(gate string, req *request) bool {
 	if req.Class != Batch {
 		return true
 	}
 	for _, r := range s.replicas {
-		if r.feeder == gate && r.serves(req) {
+		if r.owner == gate && r.serves(req) {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *Shard) isLive(gate string) bool {
+func (s *Shard) isLiveGate(gate string) bool {
 	return gate == s.config.Self || slices.ContainsFunc(s.gates, func(g Gate) bool { return g.ID == gate })
 }
 
-// mayRunNow holds a suspect request back while another attempt of the same
-// fingerprint runs, and keeps it off the replicas that died of it.
+// mayRunNow reports whether a request may start now. A suspect request may not while
+// another attempt with its fingerprint runs; the replicas that it crashed are added to
+// those that it avoids.
 func (s *Shard) mayRunNow(req *request) bool {
-	if s.copyAwaited(req) {
+	if s.isCopyAwaitingProbe(req) {
 		return false
 	}
 	if !s.isSuspect(req) {
 		return true
 	}
-	if s.runningCopies(req.Fingerprint) > 0 || s.at.Before(s.patientUntil(req)) {
+	if s.runningCopies(req.Fingerprint) > 0 || s.now.Before(s.crashBackoffUntil(req)) {
 		return false
 	}
-	for _, id := range s.strikes.Struck(s.at, req.Fingerprint) {
+	for _, id := range s.crashes.Struck(s.now, req.Fingerprint) {
 		req.avoidReplica(id)
 	}
 	return true
 }
 
-// Times until a patient request is tried again after replicas have died of it:
-// the first one, doubled with each further death.
+// Delay before a request that is retried until answered runs again after crashes: the
+// minimum follows the first crash, and each further crash doubles it.
 const (
-	firstPatience = 500 * time.Millisecond
-	mostPatience  = 16 * time.Second
+	minCrashBackoff = 500 * time.Millisecond
+	maxCrashBackoff = 16 * time.Second
 )
 
-// patientUntil gives when a patient suspect may be tried again. It may be the
-// cause of the deaths, and each try may cost a replica.
-func (s *Shard) patientUntil(req *request) time.Time {
-	deaths, last := s.strikes.Deaths(s.at, req.Fingerprint)
+// crashBackoffUntil returns when a suspect request that is retried until answered may
+// run again. It may be the cause of the crashes, and each attempt may cost a replica.
+func (s *Shard) crashBackoffUntil(req *request) time.Time {
+	deaths, last := s.crashes.Deaths(s.now, req.Fingerprint)
 	if !req.Patient || deaths == 0 {
 		return time.Time{}
 	}
-	wait := firstPatience
+	wait := minCrashBackoff
 	for range deaths - 1 {
-		wait = min(2*wait, mostPatience)
+		wait = min(2*wait, maxCrashBackoff)
 	}
 	return last.Add(wait)
 }
 
 func (s *Shard) isSuspect(req *request) bool {
-	return !s.config.Disabled.Poison && s.strikes.Standing(s.at, req.Fingerprint) != upstream.StandingClear
+	return !s.config.Disabled.Poison && s.crashes.Standing(s.now, req.Fingerprint) != upstream.StandingClear
 }
 
-// sharesTrial says whether another suspect is on trial on the replica.
+// hasTrial reports whether another suspect request is on trial on the replica.
 //
-// When a replica dies, all requests on it become suspects. If two of them met
-// again on the next replica that dies, the innocent one would be condemned with
-// the other; so each suspect is tried on a replica of its own until it is past
-// the token at which its first replica died.
-func (s *Shard) sharesTrial(r *replica) bool {
+// When a replica dies, all requests on it become suspects. If two of them met on the
+// next replica that dies, the harmless one would be condemned with the other. Each
+// suspect is therefore tried on a separate replica until it is past the token at which
+// its first replica died.
+func (s *Shard) hasTrial(r *replica) bool {
 	if s.config.Disabled.Trial {
 		return false
 	}
@@ -138,87 +139,88 @@
 	return false
 }
 
-// pastTrial says whether the attempt has come further than the one that was
-// running when a replica died. For a request that came after the death, that
-// point is not known, and the trial lasts until the answer is whole.
+// pastTrial reports whether the attempt has got further than the one that was running
+// when a replica died. For a request that arrived after the crash that point is
+// unknown, and the trial lasts until the whole answer has arrived.
 func (a *attempt) pastTrial() bool {
-	return a.req.struck && a.tokens > a.req.struckAt
+	return a.req.replicaDied && a.tokens > a.req.tokensAtDeath
 }
 
-// strike records that a replica died while the requests ran on it; orphans are
-// the fingerprints of requests that have been given up since.
-func (s *Shard) strike(r *replica, suspects []*request, orphans []upstream.Fingerprint) {
+// recordCrashes adds crash records for the requests that ran on a replica when it died;
+// orphans are the fingerprints of those that have been removed since.
+func (s *Shard) recordCrashes(r *replica, suspects []*request, orphans []upstream.Fingerprint) {
 	if s.config.Disabled.Poison {
 		return
 	}
 	prints := slices.Clone(orphans)
 	for _, req := range suspects {
-		req.struckAt = req.tokens
-		req.struck = true
+		req.tokensAtDeath = req.tokens
+		req.replicaDied = true
 		prints = append(prints, req.Fingerprint)
 	}
 	var added []upstream.Strike
 	for _, print := range prints {
-		strike := upstream.Strike{
+		crash := upstream.Strike{
 			Fingerprint: print,
 			Replica:     r.entry.Replica,
 			Incarnation: r.incarnation,
 			Gate:        s.config.Self,
-			At:          s.at,
+			At:          s.now,
 		}
-		if s.strikes.Add(strike) {
-			added = append(added, strike)
+		if s.crashes.Add(crash) {
+			added = append(added, crash)
 		}
 	}
 	if len(added) > 0 {
 		s.emit(Spread{Strikes: added})
 	}
-	s.enforce(added)
+	s.applyCrashes(added)
 }
 
 func (in Struck) apply(s *Shard) {
 	var added []upstream.Strike
-	for _, strike := range in.Strikes {
-		if s.strikes.Add(strike) {
-			added = append(added, strike)
+	for _, crash := range in.Strikes {
+		if s.crashes.Add(crash) {
+			added = append(added, crash)
 		}
 	}
-	s.enforce(added)
+	s.applyCrashes(added)
 	s.pump()
 }
 
-// enforce applies new strikes to the requests that are here already: condemned
-// ones are refused, and of a suspect one all attempts but the oldest stop.
-func (s *Shard) enforce(added []upstream.Strike) {
+// applyCrashes applies new crash records to the current requests: condemned requests
+// are refused, and of a suspect request only the oldest attempt continues.
+func (s *Shard) applyCrashes(added []upstream.Strike) {
 	if s.config.Disabled.Poison {
 		return
 	}
-	for _, strike := range added {
-		switch s.strikes.Standing(s.at, strike.Fingerprint) {
+	for _, crash := range added {
+		switch s.crashes.Standing(s.now, crash.Fingerprint) {
 		case upstream.StandingCondemned:
-			s.refuseAll(strike.Fingerprint)
+			s.refuseAll(crash.Fingerprint)
 		case upstream.StandingSuspect:
-			s.keepOldest(strike.Fingerprint, strike.Replica)
+			s.keepOldest(crash.Fingerprint, crash.Replica)
 		}
 	}
 }
 
 func (s *Shard) refuseAll(print upstream.Fingerprint) {
 	matches := func(req *request) bool { return req.Fingerprint == print && !req.Patient }
-	for _, req := range s.inOrder(matches) {
+	for _, req := range s.matchingRequests(matches) {
 		s.refuse(req, s.poisonError(req))
 	}
 }
 
-// inOrder lists the matching requests: waiting ones, then running ones.
-func (s *Shard) inOrder(matches func(*request) bool) []*request {
+// matchingRequests returns the matching requests: waiting ones, then reserved ones,
+// then running ones.
+func (s *Shard) matchingRequests(matches func(*request) bool) []*request {
 	var found []*request
-	for _, req := range slices.Concat(s.waiting.list, s.batch.list) {
+	for _, req := range slices.Concat(s.onlineQueue.list, s.batchQueue.list) {
 		if matches(req) {
 			found = append(found, req)
 		}
 	}
-	for _, p := range s.placing {
+	for _, p := range s.reservations {
 		if matches(p.req) {
 			found = append(found, p.req)
 		}
@@ -233,8 +235,8 @@
 	return found
 }
 
-// keepOldest stops the attempts of a suspect request on live replicas, but for
-// the oldest, so that not several replicas are lost at once.
+// keepOldest stops all attempts of a suspect request on live replicas except the
+// oldest, so that several replicas do not crash at once.
 func (s *Shard) keepOldest(print upstream.Fingerprint, dead upstream.ReplicaID) {
 	var live []*attempt
 	for _, r := range s.replicas {
@@ -250,7 +252,7 @@
 		req.maybeRan = true
 		s.cancel(a, CancelSuspect)
 		if len(req.live) == 0 {
-			s.tryAgain(req, CauseSuspect)
+			s.retryOrRefuse(req, CauseSuspect)
 		}
 	}
 }
--- a/internal/route/probe.go
+++ b/internal/route/probe.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// suspectReplica takes a replica out of use until a probe is answered. A new
-// request would otherwise be sent to a process that has died or frozen, and
-// wait there until its timeout.
+// suspectReplica takes a replica out of use until it answers a probe. Otherwise new
+// requests would be sent to a dead or frozen process and wait there until they time
+// out.
 func (s *Shard) suspectReplica(r *replica, evidence Evidence) {
 	if s.config.Disabled.Probe || r.health == suspect {
 		return
 	}
 	r.health = suspect
-	r.missed = false
+	r.missedProbe = false
 	if r.failures >= maxFailures {
-		// Shorter than a request waits in an outage: the only replica of a
-		// service is worth another try.
-		r.penalty = s.at.Add(s.config.OutageWait / 2)
+		// Shorter than a request waits in an outage: the only replica of a service is
+		// worth another attempt.
+		r.penaltyUntil = s.now.Add(s.config.OutageWait / 2)
 	}
-	r.probeGap = s.config.ProbeMin
+	r.probeDelay = s.config.ProbeMin
 	s.stale = true
 	s.count(ReasonReplicaSuspect)
-	s.believe(r, BeliefSuspect, evidence)
+	s.emitState(r, StateSuspect, evidence)
 	s.probe(r)
 }
 
-// probe asks a replica whether it lives. A live one answers within milliseconds,
-// so that it is hardly missed, and a frozen one gets nothing new from now on.
+// probe checks whether a replica is alive. It receives no new requests until the
+// answer: a live replica answers within milliseconds, so the pause costs little, and a
+// frozen one is out of use from now on.
 func (s *Shard) probe(r *replica) {
 	r.probing = true
 	s.stale = true
-	r.probeAt = s.at.Add(r.probeGap)
-	if s.at.Before(r.penalty) && r.penalty.Before(r.probeAt) {
-		r.probeAt = r.penalty
+	r.probeAt = s.now.Add(r.probeDelay)
+	if s.now.Before(r.penaltyUntil) && r.penaltyUntil.Before(r.probeAt) {
+		r.probeAt = r.penaltyUntil
 	}
 	s.emit(Probe{Replica: r.entry.Replica, Address: r.entry.Address})
 }
@@ -48,15 +49,15 @@
 	restarted := in.Alive && in.Incarnation > r.entry.Incarnation
 	switch {
 	case in.Alive && !restarted:
-		s.answerHeld(s.release(r))
-		s.returned(r)
+		s.sendHeldErrors(s.releaseAwaiting(r))
+		s.handleReturn(r)
 	case restarted || in.Refused || s.isAwaited(r):
 		evidence := in.evidence(restarted)
 		s.suspectReplica(r, evidence)
-		r.missed = true
-		s.died(r, evidence)
+		r.missedProbe = true
+		s.handleDeath(r, evidence)
 	default:
-		s.unanswered(r)
+		s.handleUnansweredProbe(r)
 	}
 	s.pump()
 }
@@ -72,65 +73,66 @@
 	}
 }
 
-// unanswered handles a probe that got no answer. After the first one the
-// replica gets nothing new; after the second it counts as frozen, and its quiet
-// attempts need not wait for their own timeouts.
-func (s *Shard) unanswered(r *replica) {
+// handleUnansweredProbe handles a probe without an answer. After the first, the replica
+// receives nothing new; after the second it counts as frozen, and its idle attempts
+// fail without waiting for their own timeouts.
+func (s *Shard) handleUnansweredProbe(r *replica) {
 	if r.health == suspect {
-		r.missed = true
-		s.failQuiet(r, func(*attempt) time.Duration { return s.quietAfter() })
+		r.missedProbe = true
+		s.failIdle(r, func(*attempt) time.Duration { return s.idleProbeDelay() })
 		return
 	}
 	s.suspectReplica(r, EvidenceUnanswered)
-	r.missed = true
+	r.missedProbe = true
 	if s.config.StallMin > 0 {
-		s.moveQuiet(r)
+		s.moveIdle(r)
 	}
 }
 
 func (s *Shard) isAwaited(r *replica) bool {
-	awaited := func(req *request) bool { return req.awaiting == r }
-	return slices.ContainsFunc(s.waiting.list, awaited) || slices.ContainsFunc(s.batch.list, awaited)
+	awaited := func(req *request) bool { return req.awaitedReplica == r }
+	return slices.ContainsFunc(s.onlineQueue.list, awaited) || slices.ContainsFunc(s.batchQueue.list, awaited)
 }
 
-// returned handles the answer of a suspect replica to a probe. One that
-// answered the first probe only had a bad connection and is used as before.
-func (s *Shard) returned(r *replica) {
-	if r.health != suspect || s.at.Before(r.penalty) {
+// handleReturn handles a suspect replica's answer to a probe. A replica that answered
+// the first probe only had a bad connection and returns to use without a slow start.
+func (s *Shard) handleReturn(r *replica) {
+	if r.health != suspect || s.now.Before(r.penaltyUntil) {
 		return
 	}
 	s.count(ReasonReplicaReturned)
-	s.recover(r, r.missed || r.failures >= maxFailures, EvidenceAnswered)
+	s.recover(r, r.missedProbe || r.failures >= maxFailures, EvidenceAnswered)
 }
 
-// recover puts a replica back into use, with few requests at first if slowly.
+// recover returns a replica to use, with few requests at first if slowly is set.
 func (s *Shard) recover(r *replica, slowly bool, evidence Evidence) {
 	r.health = healthy
 	r.dead = false
 	s.stale = true
 	if slowly {
-		r.rampFrom = s.at
+		r.slowStartFrom = s.now
 	}
-	s.believe(r, BeliefReturned, evidence)
+	s.emitState(r, StateReturned, evidence)
 }
 
-// answerHeld gives the final answers that waited for a probe.
-func (s *Shard) answerHeld(released []*request) {
+// sendHeldErrors sends the final errors that were held until a probe ended.
+func (s *Shard) sendHeldErrors(released []*request) {
 	for _, req := range released {
-		if req.verdict != nil && s.requests[req.ID] == req {
-			s.refuse(req, req.verdict)
+		if req.heldError != nil && s.requests[req.ID] == req {
+			s.refuse(req, req.heldError)
 		}
 	}
 }
 
-// release lets the requests go on that waited for the probe of a replica.
-func (s *Shard) release(r *replica) []*request {
+// releaseAwaiting ends the wait of the requests that awaited the probe of a replica and
+// returns them.
+func (s *Shard) releaseAwaiting(r *replica) []*request {
 	var released []*request
-	r.orphans = nil
-	for _, queue := range []*waitQueue{&s.waiting, &s.batch} {
+	r.abandonedPrints = nil
+	for _, queue := range []*waitQueue{&s.onlineQueue, &s.batchQueue} {
 		for _, req := range queue.list {
-			if req.awaiting == r {
-				s.settled(req)
+			if req.awaitedReplica == r {
+				s.endAwait(req)
 				released = append(released, req)
 			}
 		}
@@ -138,11 +140,11 @@
 	return released
 }
 
-// died records a replica's death against all requests that ran on it: those
-// whose connections broke and those that have not noticed yet.
-func (s *Shard) died(r *replica, evidence Evidence) {
-	orphans := r.orphans
-	held := s.release(r)
+// handleDeath records a crash for all requests that ran on a dead replica: those whose
+// connections broke and those whose attempts are still open.
+func (s *Shard) handleDeath(r *replica, evidence Evidence) {
+	orphans := r.abandonedPrints
+	held := s.releaseAwaiting(r)
 	suspects := slices.Clone(held)
 	for _, a := range r.attempts {
 		suspects = append(suspects, a.req)
@@ -150,14 +152,14 @@
 	if !r.dead {
 		r.dead = true
 		s.count(ReasonReplicaDied)
-		s.believe(r, BeliefDead, evidence)
+		s.emitState(r, StateDead, evidence)
 	}
-	s.strike(r, suspects, orphans)
-	s.answerHeld(held)
+	s.recordCrashes(r, suspects, orphans)
+	s.sendHeldErrors(held)
 	for _, a := range slices.Clone(r.attempts) {
 		if s.attempts[a.id] != nil {
 			s.emit(Cancel{ID: a.req.ID, Attempt: a.id, Cause: CancelDied})
-			s.failed(a, CauseDied)
+			s.handleFailure(a, CauseDied)
 		}
 	}
 }
--- a/internal/route/property_test.go
+++ b/internal/route/property_test.go
@@ -14,15 +14,15 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// model drives one shard with inputs in any order and checks after each what
-// must always hold, whatever the replicas do.
+// model drives one shard with inputs in any order and checks the invariants after each
+// of them.
 type model struct {
 	t        *rapid.T
 	shard    *route.Shard
 	now      time.Time
 	sequence uint64
 	arrived  int
-	extra    int // retries and hedges of online requests
+	retries  int // retries and hedges of online requests
 	open     map[string]*modelRequest
 	live     map[route.AttemptID]*modelAttempt
 	replicas map[upstream.ReplicaID]*modelReplica
@@ -50,7 +50,7 @@
 	modelSlots    = 3
 	modelReplicas = 3
 	modelDeadline = 20 * time.Second
-	modelReserve  = 10 // of retries; a fifth of it at the start
+	modelReserve  = 10 // maximum saved retries; a fifth of it at the start
 )
 
 func (m *model) step(in route.Input) {
@@ -85,7 +85,7 @@
 	if req.Class == route.Online {
 		on.online++
 		if o.Kind == route.Retry || o.Kind == route.Hedge {
-			m.extra++
+			m.retries++
 		}
 		return
 	}
@@ -193,11 +193,11 @@
 	m.step(route.Tick{})
 }
 
-// check holds after each input: retries stay within their share, and no
-// replica that runs batch that can be stopped has more than its slots.
+// check verifies after each input that retries stay within their share, and that no
+// replica with preemptible batch work has more requests than slots.
 func (m *model) check(t *rapid.T) {
-	if allowed := modelReserve/5 + m.arrived/10; m.extra > allowed {
-		t.Fatalf("%d retries of %d requests", m.extra, m.arrived)
+	if allowed := modelReserve/5 + m.arrived/10; m.retries > allowed {
+		t.Fatalf("%d retries of %d requests", m.retries, m.arrived)
 	}
 	stoppable := map[*modelReplica]bool{}
 	for _, a := range m.live {
@@ -207,15 +207,15 @@
 	}
 	for r := range stoppable {
 		if r.online+r.batch > modelSlots {
-			t.Fatalf("batch stands in the queue of %+v", *r)
+			t.Fatalf("batch work is queued at %+v", *r)
 		}
 	}
 }
 
-// TestAnyOrderOfEvents checks, for random orders of arrivals, answers, faults,
-// reports and time, that each request gets exactly one final answer, that
-// nothing goes to a leaving or suspect replica, that what may not be repeated
-// is not, and the limits of check.
+// TestAnyOrderOfEvents checks random orders of arrivals, answers, faults, announcements
+// and time: each request gets exactly one final answer, nothing is sent to a leaving or
+// suspect replica, a request that may not be repeated runs once, and the limits of
+// check hold.
 func TestAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{
@@ -238,12 +238,12 @@
 				m.step(route.Progress{Attempt: m.anyAttempt(t), Tokens: rapid.IntRange(0, 9).Draw(t, "tokens"), Delivered: rapid.Bool().Draw(t, "delivered")})
 			},
 		})
-		m.settle()
+		m.expectAllAnswered()
 	})
 }
 
-// settle lets time pass until every request must have its answer.
-func (m *model) settle() {
+// expectAllAnswered lets time pass until every request must have its answer.
+func (m *model) expectAllAnswered() {
 	for range 12 {
 		m.now = m.now.Add(modelDeadline)
 		m.step(route.Tick{})
--- a/internal/route/queue.go
+++ b/internal/route/queue.go
@@ -6,24 +6,23 @@
 	"time"
 )
 
-// waitQueue holds requests without an attempt in the order in which they are to
-// start: first those that go on with an answer that their caller has part of,
-// then those whose answer can still be of full use, then the late ones; each of them
-// by priority, and by the time at which they are due.
+// waitQueue holds requests without an attempt in the order in which they start: first
+// those with a partially delivered answer, then those that can still meet their target,
+// then the overdue ones; within each group by priority, then by due time.
 //
-// In a queue by deadline alone, an outage of a second makes the callers of the
-// next seconds late too: they wait behind those whose answer has lost its use.
-// The late ones lose little by waiting longer, and keep a share of the starts
-// (lateTurn), so that lasting load does not starve them.
+// With a queue ordered only by deadline, an outage of one second would also make the
+// callers of the following seconds miss their targets, because they would wait behind
+// requests that already have. Overdue requests lose little by waiting longer, and a
+// share of the starts (overdueTurn) keeps them from starving under sustained load.
 type waitQueue struct {
 	list []*request // in order of compareUrgency
-	// passed counts the starts since a late request had its turn.
-	passed int
+	// startsSinceOverdue counts the starts since the last one of an overdue request.
+	startsSinceOverdue int
 }
 
-// lateTurn: while both kinds wait, one start in so many is a late request's, which
-// keeps the late ones' wait below their deadline and hardly delays the others.
-const lateTurn = 4
+// overdueTurn gives overdue requests one start in this many while both kinds wait. This
+// keeps their wait below their deadline and hardly delays the others.
+const overdueTurn = 4
 
 func (q *waitQueue) len() int { return len(q.list) }
 
@@ -35,21 +34,21 @@
 	q.list = slices.Insert(q.list, i, r)
 }
 
-// urgency ranks the kinds of waiting requests; the lowest starts first.
+// urgency returns the rank of a waiting request's group; the lowest starts first.
 func (r *request) urgency() int {
 	switch {
 	case r.delivered:
 		return 0
-	case !r.late:
+	case !r.overdue:
 		return 1
 	default:
 		return 2
 	}
 }
 
-// due is the time by which a waiting request is to start.
+// due returns the time by which a waiting request should start.
 func (r *request) due() time.Time {
-	if r.late || r.UsefulUntil.IsZero() {
+	if r.overdue || r.UsefulUntil.IsZero() {
 		return r.Deadline
 	}
 	return r.UsefulUntil
@@ -74,72 +73,73 @@
 	}
 }
 
-// markLate puts those behind the others that cannot be of full use any more if
-// they need lead to get there.
-func (q *waitQueue) markLate(now time.Time, lead func(*request) time.Duration) {
-	var late []*request
+// markOverdue moves the requests behind the others that can no longer meet their target
+// if they need the time that lead returns.
+func (q *waitQueue) markOverdue(now time.Time, lead func(*request) time.Duration) {
+	var overdue []*request
 	for _, r := range q.list {
-		if !r.late && !r.delivered && !r.UsefulUntil.IsZero() && r.UsefulUntil.Before(now.Add(lead(r))) {
-			late = append(late, r)
+		if !r.overdue && !r.delivered && !r.UsefulUntil.IsZero() && r.UsefulUntil.Before(now.Add(lead(r))) {
+			overdue = append(overdue, r)
 		}
 	}
-	for _, r := range late {
+	for _, r := range overdue {
 		q.remove(r)
-		r.late = true
+		r.overdue = true
 		q.push(r)
 	}
 }
 
-// firstLate gives the position of the first late request.
-func (q *waitQueue) firstLate() int {
-	i := slices.IndexFunc(q.list, func(r *request) bool { return r.late })
+// firstOverdue returns the position of the first overdue request.
+func (q *waitQueue) firstOverdue() int {
+	i := slices.IndexFunc(q.list, func(r *request) bool { return r.overdue })
 	if i < 0 {
 		return len(q.list)
 	}
 	return i
 }
 
-// startResult says what became of an offer to start a waiting request.
+// startResult is the outcome of an attempt to start a waiting request.
 type startResult int
 
 const (
 	started startResult = iota
 	noRoom              // no replica has room
-	held                // the request has its own reason to wait
+	held                // the request must wait for a reason of its own
 )
 
-// takeReady offers the waiting requests to start, in order but for the turns of
-// the late ones, and removes those that started. It stops after maxMisses that
-// found no room: if the most urgent ones find no replica, those behind rarely do.
-func (q *waitQueue) takeReady(now time.Time, maxMisses int, start func(*request) startResult) {
-	ahead, late := 0, q.firstLate()
-	end := late
-	for misses := 0; misses < maxMisses && (ahead < end || late < len(q.list)); {
-		lateNow := late < len(q.list) && (ahead >= end || q.passed >= lateTurn-1)
+// startReady tries to start the waiting requests, in order except for the turns of
+// overdue ones, and removes those that started. It stops after maxMisses requests found
+// no room: if there is no replica for the most urgent ones, there is rarely one for
+// those behind them.
+func (q *waitQueue) startReady(now time.Time, maxMisses int, start func(*request) startResult) {
+	ahead, overdue := 0, q.firstOverdue()
+	end := overdue
+	for misses := 0; misses < maxMisses && (ahead < end || overdue < len(q.list)); {
+		overdueNow := overdue < len(q.list) && (ahead >= end || q.startsSinceOverdue >= overdueTurn-1)
 		i := ahead
-		if lateNow {
-			i = late
+		if overdueNow {
+			i = overdue
 		}
 		result := held
-		if r := q.list[i]; r.awaiting == nil && !now.Before(r.notBefore) {
+		if r := q.list[i]; r.awaitedReplica == nil && !now.Before(r.notBefore) {
 			result = start(r)
 		}
 		if result == noRoom {
 			misses++
 		}
 		switch {
-		case result == started && lateNow:
+		case result == started && overdueNow:
 			q.list = slices.Delete(q.list, i, i+1)
-			q.passed = 0
+			q.startsSinceOverdue = 0
 		case result == started:
 			q.list = slices.Delete(q.list, i, i+1)
 			end--
-			late--
-			if late < len(q.list) {
-				q.passed++
+			overdue--
+			if overdue < len(q.list) {
+				q.startsSinceOverdue++
 			}
-		case lateNow:
-			late++
+		case overdueNow:
+			overdue++
 		default:
 			ahead++
 		}
--- a/internal/route/quiet.go
+++ b/internal/route/quiet.go
@@ -6,108 +6,108 @@
 )
 
 const (
-	// overdueFactor is how much longer than nearly all first answers an overdue one
-	// takes.
-	overdueFactor = 1.5
-	// quietProbeGap is how soon a replica is asked again that lives and is quiet.
-	quietProbeGap = time.Second
-	// leastQuietStreams are the streams of a replica that stop at once before it is
-	// asked whether it lives. That packets of two connections are lost at once is
-	// rare; a single stream that stops is taken up again by itself.
-	leastQuietStreams = 2
+	// idleFactor multiplies the time within which nearly all first answers arrive; an
+	// attempt that takes longer is idle.
+	idleFactor = 1.5
+	// idleProbeInterval is the time until a live replica with idle streams is probed
+	// again.
+	idleProbeInterval = time.Second
+	// minIdleStreams is the number of a replica's streams that must stall together
+	// before it is probed. Packets of two connections are rarely lost at once, and a
+	// single stalled stream is resumed anyway.
+	minIdleStreams = 2
 )
 
-// askIfAllQuiet asks a replica whether it lives when all that this gate has there is
-// quiet.
+// probeIfAllIdle probes a replica when all attempts of this gate on it are idle.
 //
-// Failure guarded against: a replica loses its power. Nothing says so: its streams
-// stand still until the time that an event may take is over, when their callers have
-// left, and new requests go there until a connection is not answered. Asked as soon
-// as its streams stop together, it is known to be gone within what a connection
-// takes, and streams go on elsewhere before their callers see a pause.
-func (s *Shard) askIfAllQuiet(r *replica) {
-	if s.config.StallMin <= 0 || r.health == suspect || r.probing || s.at.Before(r.probeAt) {
+// It detects a replica that has lost power. No error arrives in that case: its streams
+// stall until their token timeout, when their callers have left, and new requests are
+// sent there until a connection attempt fails. When its streams stall together, a probe
+// finds this within the time of a connection, and the streams resume elsewhere before
+// their callers notice a pause.
+func (s *Shard) probeIfAllIdle(r *replica) {
+	if s.config.StallMin <= 0 || r.health == suspect || r.probing || s.now.Before(r.probeAt) {
 		return
 	}
-	if s.at.Sub(r.heardAt) < s.stallAfter() {
+	if s.now.Sub(r.lastContact) < s.stallAfter() {
 		return
 	}
-	streams, first := 0, false
+	streams, awaitsFirst := 0, false
 	for _, a := range r.attempts {
-		if !s.isOverdue(a) {
+		if !s.isIdle(a) {
 			continue
 		}
 		if a.tokens > 0 {
 			streams++
 		} else {
-			first = true
+			awaitsFirst = true
 		}
 	}
-	if first || streams >= leastQuietStreams {
-		s.count(ReasonReplicaQuiet)
-		r.probeGap = quietProbeGap
+	if awaitsFirst || streams >= minIdleStreams {
+		s.count(ReasonReplicaIdle)
+		r.probeDelay = idleProbeInterval
 		s.probe(r)
 	}
 }
 
-// isOverdue says whether an attempt has had no progress for longer than nearly all
-// take.
-func (s *Shard) isOverdue(a *attempt) bool {
-	quiet := s.at.Sub(a.progress)
+// isIdle reports whether an attempt has made no progress for longer than nearly all
+// attempts take.
+func (s *Shard) isIdle(a *attempt) bool {
+	idle := s.now.Sub(a.lastProgress)
 	if a.tokens > 0 {
-		return quiet >= s.stallAfter()
+		return idle >= s.stallAfter()
 	}
-	usual := s.usualFirst()
-	return usual > 0 && quiet >= max(s.stallAfter(), time.Duration(overdueFactor*float64(usual)))
+	usual := s.usualFirstAnswer()
+	return usual > 0 && idle >= max(s.stallAfter(), time.Duration(idleFactor*float64(usual)))
 }
 
-// usualFirst is how long nearly all first answers take: first tokens or, of a plain
-// service, whole answers. 0 while none is known.
-func (s *Shard) usualFirst() time.Duration {
-	if s.firstToken.mean > 0 {
-		return s.firstToken.high()
+// usualFirstAnswer returns the time within which nearly all first answers arrive: first
+// tokens or, for a plain service, whole answers. It returns 0 while none is known.
+func (s *Shard) usualFirstAnswer() time.Duration {
+	if s.firstTokenTime.mean > 0 {
+		return s.firstTokenTime.upperBound()
 	}
-	return s.answer.high()
+	return s.answerTime.upperBound()
 }
 
-// moveQuiet tries the overdue requests elsewhere whose replica does not answer, as
-// far as they may be. The others stay: their replica may be back before their
-// callers leave, and to break them off would gain nobody anything.
-func (s *Shard) moveQuiet(r *replica) {
+// moveIdle retries the idle requests of an unresponsive replica elsewhere, where that
+// is allowed. The others stay: the replica may return before their callers leave, and
+// stopping them would help nobody.
+func (s *Shard) moveIdle(r *replica) {
 	for _, a := range slices.Clone(r.attempts) {
-		if s.attempts[a.id] != nil && s.isOverdue(a) && s.mayMove(a) {
+		if s.attempts[a.id] != nil && s.isIdle(a) && s.mayMove(a) {
 			s.emit(Cancel{ID: a.req.ID, Attempt: a.id, Cause: CancelSilent})
-			s.failed(a, CauseSilent)
+			s.handleFailure(a, CauseSilent)
 		}
 	}
 }
 
-// mayMove says whether a request would be tried again if this attempt failed now.
+// mayMove reports whether the request would be retried if this attempt failed now.
 func (s *Shard) mayMove(a *attempt) bool {
 	req := a.req
 	mayGoOn := req.Repeatable && (!req.delivered || req.Resumable)
 	return mayGoOn && len(req.live) == 1 && (req.Patient || req.tried < s.maxAttempts(req))
 }
 
-// patienceShare is the part of its caller's time after which a first answer that has
-// not come is looked for over another connection.
-const patienceShare = 0.5
+// reconnectShare is the share of its caller's time after which a request without a
+// first answer is tried over another connection.
+const reconnectShare = 0.5
 
-// patienceLimit is how long a request that may be repeated waits for its first answer
-// over one connection.
+// reconnectTimeout returns how long a request that may be repeated waits for its first
+// answer over one connection.
 //
-// Failure guarded against: something between gate and replica has lost track of the
-// connections in the pool. Each request that takes one of them waits until its caller
-// leaves, and so does the next, for as many as there are. Half of the caller's time
-// suffices for another try; the pool is dropped with the first.
-func (s *Shard) patienceLimit(a *attempt, otherwise time.Duration) time.Duration {
+// A device between gate and replica may have lost the state of the pooled connections.
+// Each request that takes one of them would wait until its caller leaves, and so would
+// the next, until the pool is used up. Half of the caller's time suffices for another
+// attempt, and the first one that fails drops the pool.
+func (s *Shard) reconnectTimeout(a *attempt, otherwise time.Duration) time.Duration {
 	req := a.req
 	if req.Class != Online || !req.Repeatable || req.tried >= s.maxAttempts(req) {
 		return otherwise
 	}
-	half := time.Duration(patienceShare * float64(req.Deadline.Sub(a.started)))
-	if usual := s.usualFirst(); usual == 0 || usual >= half {
-		return otherwise // another try would rarely have its answer in time
+	half := time.Duration(reconnectShare * float64(req.Deadline.Sub(a.started)))
+	if usual := s.usualFirstAnswer(); usual == 0 || usual >= half {
+		return otherwise // another attempt would rarely be answered in time
 	}
 	return min(otherwise, half)
 }
--- a/internal/route/reasons.go
+++ b/internal/route/reasons.go
@@ -9,25 +9,25 @@
 // Reasons of refusals. Each ends the request at once.
 const (
 	ReasonNoUpstream      apierr.Reason = "no_upstream"            // no replica has the model
-	ReasonNoReadyUpstream apierr.Reason = "no_ready_upstream"      // replicas exist, none can take work
+	ReasonNoReadyUpstream apierr.Reason = "no_ready_upstream"      // replicas exist, but none can take work
 	ReasonQueueFull       apierr.Reason = "queue_full"             // too many requests wait in the gate
-	ReasonWaitTooLong     apierr.Reason = "wait_exceeds_deadline"  // the queue would outlast the deadline
+	ReasonWaitTooLong     apierr.Reason = "wait_exceeds_deadline"  // the estimated wait exceeds the deadline
 	ReasonDeadline        apierr.Reason = "deadline_exceeded"      // the deadline passed
-	ReasonTeamInFlight    apierr.Reason = "team_in_flight_limit"   // the team has too many at once
-	ReasonTeamRate        apierr.Reason = "team_rate_limit"        // the team sends too fast
-	ReasonPoison          apierr.Reason = "poison_request"         // two replicas died of it
-	ReasonSuspect         apierr.Reason = "suspect_request"        // one replica died; another gate is trying it
+	ReasonTeamInFlight    apierr.Reason = "team_in_flight_limit"   // the team has too many requests in flight
+	ReasonTeamRate        apierr.Reason = "team_rate_limit"        // the team exceeds its rate
+	ReasonPoison          apierr.Reason = "poison_request"         // the request crashed two replicas
+	ReasonSuspect         apierr.Reason = "suspect_request"        // one replica crashed; another gate is trying the request
 	ReasonUpstreamFailed  apierr.Reason = "upstream_failed"        // the attempt failed and may not be repeated
-	ReasonAttemptsSpent   apierr.Reason = "attempts_spent"         // each attempt failed
-	ReasonRetryBudget     apierr.Reason = "retry_budget_spent"     // too many retries of late
-	ReasonCannotResume    apierr.Reason = "stream_cannot_resume"   // part was delivered, no replica can go on
+	ReasonAttemptsSpent   apierr.Reason = "attempts_spent"         // every attempt failed
+	ReasonRetryBudget     apierr.Reason = "retry_budget_spent"     // too many recent retries
+	ReasonCannotResume    apierr.Reason = "stream_cannot_resume"   // part was delivered, and no replica can resume the stream
 	ReasonDraining        apierr.Reason = "draining"               // the gate is shutting down
-	ReasonNotFed          apierr.Reason = "not_fed_here"           // another gate feeds the replicas that could run the item
-	ReasonFreeElsewhere   apierr.Reason = "free_elsewhere"         // another gate has slots free for the item
-	ReasonDuplicateID     apierr.Reason = "request_id_in_progress" // the same request ID runs already
+	ReasonNotOwner        apierr.Reason = "not_fed_here"           // another gate owns the replicas that could run the item
+	ReasonFreeElsewhere   apierr.Reason = "free_elsewhere"         // another gate has free slots for the item
+	ReasonDuplicateID     apierr.Reason = "request_id_in_progress" // a request with the same ID is in progress
 )
 
-// Reasons counted without a refusal.
+// Reasons that are counted without a refusal.
 const (
 	ReasonRetryPrefix                   = "retry_"  // followed by the FailureCause
 	ReasonCancelPrefix                  = "cancel_" // followed by the CancelCause
@@ -36,18 +36,18 @@
 	ReasonHandOver        apierr.Reason = "stalled_stream_handed_over"
 	ReasonBatchResumed    apierr.Reason = "batch_resumed"
 	ReasonReplicaSuspect  apierr.Reason = "replica_suspect"
-	ReasonReplicaQuiet    apierr.Reason = "replica_quiet" // all of it; asked whether it lives
+	ReasonReplicaIdle     apierr.Reason = "replica_quiet" // all of this gate's attempts there are idle; the replica is probed
 	ReasonReplicaDied     apierr.Reason = "replica_died"
 	ReasonReplicaReturned apierr.Reason = "replica_returned"
 	ReasonEntryExpired    apierr.Reason = "upstream_expired"
 	ReasonBatchBehind     apierr.Reason = "online_queued_at_engine"
-	// ReasonPlaceTaken: by the feeder's word others have taken the slot.
-	ReasonPlaceTaken apierr.Reason = "place_taken"
-	// ReasonPlaceUnconfirmed: the feeder did not answer in time.
-	ReasonPlaceUnconfirmed apierr.Reason = "place_unconfirmed"
+	// ReasonSlotTaken: according to the owner, other gates have taken the slot.
+	ReasonSlotTaken apierr.Reason = "place_taken"
+	// ReasonSlotUnconfirmed: the owner did not answer in time.
+	ReasonSlotUnconfirmed apierr.Reason = "place_unconfirmed"
 )
 
-// refusals are the reasons that end a request.
+// refusals lists the reasons that end a request.
 var refusals = []apierr.Reason{
 	ReasonNoUpstream,
 	ReasonNoReadyUpstream,
@@ -63,7 +63,7 @@
 	ReasonRetryBudget,
 	ReasonCannotResume,
 	ReasonDraining,
-	ReasonNotFed,
+	ReasonNotOwner,
 	ReasonFreeElsewhere,
 	ReasonDuplicateID,
 }
--- a/internal/route/rebalance_test.go
+++ b/internal/route/rebalance_test.go
@@ -12,9 +12,10 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// waitingItem is a gate with one batch item that waits: online work has filled the
-// replicas that the gate feeds. What the other gate says of each of its own is load.
-func waitingItem(t *testing.T, load upstream.Feeding, patient bool) *rig {
+// waitingItem sets up a gate with one waiting batch item and with all its own replicas
+// full of online work. Every replica of the other gate has the given load. It advances
+// past the time after which the item may be returned.
+func waitingItem(t *testing.T, load upstream.Feeding, retryUntilAnswered bool) *rig {
 	const replicas = 6 // of two slots
 	r := newRig(t, route.Config{HedgeMin: -1, ProbeAfter: time.Hour}, replicas)
 	r.step(route.GatesChanged{Gates: []route.Gate{{ID: "gate-1", Place: "glas-a"}, {ID: "gate-2", Place: "glas-a"}}})
@@ -29,15 +30,15 @@
 		}
 	}
 	if len(others) == 0 || len(others) == replicas {
-		t.Fatalf("the other gate feeds %d of %d replicas", len(others), replicas)
+		t.Fatalf("the other gate owns %d of %d replicas", len(others), replicas)
 	}
-	for _, dispatch := range maps.Clone(r.on) {
+	for _, dispatch := range maps.Clone(r.lastDispatch) {
 		if slices.Contains(others, dispatch.Target.Replica) {
 			r.step(route.Finished{Attempt: dispatch.Attempt})
 		}
 	}
 	r.arrive(route.Request{
-		ID: "item", Class: route.Batch, Repeatable: true, Patient: patient, Fingerprint: 9, Policy: route.ThroughputPolicy(),
+		ID: "item", Class: route.Batch, Repeatable: true, Patient: retryUntilAnswered, Fingerprint: 9, Policy: route.ThroughputPolicy(),
 	})
 	if r.sent["item"] != 0 {
 		t.Fatal("the item found a slot")
@@ -51,28 +52,27 @@
 	}
 	wait(900 * time.Millisecond)
 	if r.refused["item"] != nil {
-		t.Fatalf("given back at once: %v", r.refused["item"])
+		t.Fatalf("returned at once: %v", r.refused["item"])
 	}
 	wait(200 * time.Millisecond)
 	return r
 }
 
-// Online work takes back the slots of the replicas that a gate feeds. Its items
-// wait there for seconds, and their owners see them late, while the replicas that
-// another gate feeds stand idle.
+// Guards against items that wait for seconds at a gate whose slots online work has
+// taken, and miss their targets, while the replicas of another gate are idle.
 func TestAnItemDoesNotWaitWhileOtherGatesHaveSlots(t *testing.T) {
 	r := waitingItem(t, upstream.Feeding{Online: 0, Batch: 0}, true)
 	refusal := r.refused["item"]
 	if refusal == nil || refusal.Reason != route.ReasonFreeElsewhere || refusal.Ran != apierr.RanNo {
-		t.Errorf("the item: %v", refusal)
+		t.Errorf("the item was not returned as expected: %v", refusal)
 	}
 }
 
 func TestAnItemWaitsWhereNobodyHasSlots(t *testing.T) {
 	if refusal := waitingItem(t, upstream.Feeding{Online: 1, Batch: 1}, true).refused["item"]; refusal != nil {
-		t.Errorf("given back though all replicas are full: %v", refusal)
+		t.Errorf("returned although all replicas are full: %v", refusal)
 	}
 	if refusal := waitingItem(t, upstream.Feeding{}, false).refused["item"]; refusal != nil {
-		t.Errorf("given back though giving back counts as an attempt: %v", refusal)
+		t.Errorf("returned although a return counts as an attempt: %v", refusal)
 	}
 }
--- a/internal/route/replay_test.go
+++ b/internal/route/replay_test.go
@@ -12,25 +12,25 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// bench replays a trace.
-type bench struct {
+// replayer replays a trace.
+type replayer struct {
 	trace    trace
 	shards   map[string]*route.Shard
-	at       int
+	nowMS    int
 	sequence uint64
-	attempts map[string]*ran // by request and number
-	byID     map[string]*ran // by gate and attempt ID
+	attempts map[string]*replayAttempt // by request and number
+	byID     map[string]*replayAttempt // by gate and attempt ID
 	tried    map[string]int
 	state    map[string]string // final state of requests
 	cancels  map[string]int
 	dead     map[upstream.ReplicaID]bool
 	frozen   map[upstream.ReplicaID]bool
-	peak     int // highest number of attempts at once on one replica, batch being there
+	peak     int // highest number of concurrent attempts on a replica that runs batch work
 	failures []string
-	later    []delayed
+	pending  []delayed
 }
 
-type ran struct {
+type replayAttempt struct {
 	gate, id string
 	attempt  route.AttemptID
 	replica  upstream.ReplicaID
@@ -48,11 +48,11 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func (b *bench) time() time.Time { return epoch.Add(time.Duration(b.at) * time.Millisecond) }
+func (b *replayer) time() time.Time { return epoch.Add(time.Duration(b.nowMS) * time.Millisecond) }
 
-func newBench(tr trace, guards route.Guards) *bench {
-	b := &bench{
-		trace: tr, shards: map[string]*route.Shard{}, attempts: map[string]*ran{}, byID: map[string]*ran{},
+func newReplayer(tr trace, guards route.Guards) *replayer {
+	b := &replayer{
+		trace: tr, shards: map[string]*route.Shard{}, attempts: map[string]*replayAttempt{}, byID: map[string]*replayAttempt{},
 		tried: map[string]int{}, state: map[string]string{}, cancels: map[string]int{},
 		dead: map[upstream.ReplicaID]bool{}, frozen: map[upstream.ReplicaID]bool{},
 	}
@@ -62,7 +62,7 @@
 			HedgeMin: time.Duration(tr.Hedge) * time.Millisecond, EntryLifetime: time.Hour,
 		}
 		b.shards[name] = route.NewShard(config, rand.New(rand.NewPCG(1, uint64(i))))
-		b.give(name, route.GatesChanged{Gates: gatesOf(tr.Gates)})
+		b.deliver(name, route.GatesChanged{Gates: gatesOf(tr.Gates)})
 	}
 	for i := range tr.Replicas {
 		b.announce(step{Replica: fmt.Sprintf("r%d", i+1)})
@@ -78,7 +78,7 @@
 	return gates
 }
 
-func (b *bench) announce(st step) {
+func (b *replayer) announce(st step) {
 	b.sequence++
 	sequence := b.sequence
 	if st.Sequence > 0 {
@@ -90,21 +90,21 @@
 		Load: upstream.Load{Slots: b.trace.Slots, Ready: true, Leaving: st.Leaving, Running: st.Running},
 	}}
 	for _, name := range b.trace.Gates {
-		b.give(name, in)
+		b.deliver(name, in)
 	}
 }
 
-func (b *bench) give(gate string, in route.Input) {
+func (b *replayer) deliver(gate string, in route.Input) {
 	shard := b.shards[gate]
 	if shard == nil {
 		return
 	}
 	for _, o := range slices.Clone(shard.Step(b.time(), in)) {
-		b.take(gate, o)
+		b.handleOutput(gate, o)
 	}
 }
 
-func (b *bench) take(gate string, o route.Output) {
+func (b *replayer) handleOutput(gate string, o route.Output) {
 	switch o := o.(type) {
 	case route.Dispatch:
 		b.dispatched(gate, o)
@@ -116,24 +116,24 @@
 	case route.Probe:
 		b.answerProbe(gate, o.Replica)
 	case route.YieldTo:
-		b.give(o.Gate, route.YieldAsked{Gate: gate, Replica: o.Replica, Online: o.Online, Batch: o.Batch})
+		b.deliver(o.Gate, route.YieldAsked{Gate: gate, Replica: o.Replica, Online: o.Online, Batch: o.Batch})
 	case route.Spread:
 		for _, other := range b.trace.Gates {
 			if other != gate {
-				b.give(other, route.Struck(o))
+				b.deliver(other, route.Struck(o))
 			}
 		}
 	}
 }
 
-// Times of the replay, in ms.
+// Delays of the replay, in ms.
 const (
 	probeTime    = 2   // a probe of a live replica, or of a VM whose process has ended
 	probeTimeout = 400 // a probe of a frozen replica
 	breakTime    = 5   // until the connections to a killed process break
 )
 
-func (b *bench) answerProbe(gate string, id upstream.ReplicaID) {
+func (b *replayer) answerProbe(gate string, id upstream.ReplicaID) {
 	answer := route.Probed{Replica: id, Alive: !b.dead[id] && !b.frozen[id], Refused: b.dead[id]}
 	if b.frozen[id] {
 		b.after(probeTimeout, gate, answer)
@@ -143,7 +143,7 @@
 }
 
 // killReplica ends a replica's process: all connections to it break.
-func (b *bench) killReplica(id upstream.ReplicaID) {
+func (b *replayer) killReplica(id upstream.ReplicaID) {
 	b.dead[id] = true
 	for _, key := range slices.Sorted(maps.Keys(b.byID)) {
 		if r := b.byID[key]; r.live && r.replica == id {
@@ -152,11 +152,11 @@
 	}
 }
 
-func (b *bench) dispatched(gate string, o route.Dispatch) {
+func (b *replayer) dispatched(gate string, o route.Dispatch) {
 	b.tried[o.ID]++
-	r := &ran{
+	r := &replayAttempt{
 		gate: gate, id: o.ID, attempt: o.Attempt, replica: o.Target.Replica,
-		at: b.at, live: true, batch: strings.HasPrefix(o.ID, "b"),
+		at: b.nowMS, live: true, batch: strings.HasPrefix(o.ID, "b"),
 	}
 	b.attempts[fmt.Sprintf("%s#%d", o.ID, b.tried[o.ID])] = r
 	b.byID[fmt.Sprint(gate, o.Attempt)] = r
@@ -166,7 +166,7 @@
 	}
 }
 
-func (b *bench) end(gate string, id route.AttemptID) {
+func (b *replayer) end(gate string, id route.AttemptID) {
 	if r := b.byID[fmt.Sprint(gate, id)]; r != nil {
 		r.live = false
 		if b.state[r.id] == string(r.replica) {
@@ -175,13 +175,13 @@
 	}
 }
 
-func (b *bench) after(ms int, gate string, in route.Input) {
-	b.later = append(b.later, delayed{at: b.at + ms, gate: gate, in: in})
-	slices.SortStableFunc(b.later, func(x, y delayed) int { return x.at - y.at })
+func (b *replayer) after(ms int, gate string, in route.Input) {
+	b.pending = append(b.pending, delayed{at: b.nowMS + ms, gate: gate, in: in})
+	slices.SortStableFunc(b.pending, func(x, y delayed) int { return x.at - y.at })
 }
 
-// measure records the load of the replicas that run batch, when a step is over.
-func (b *bench) measure() {
+// recordPeak records the load of the replicas that run batch work at the end of a step.
+func (b *replayer) recordPeak() {
 	total, batch := map[upstream.ReplicaID]int{}, map[upstream.ReplicaID]bool{}
 	for _, r := range b.byID {
 		if r.live {
@@ -198,47 +198,47 @@
 
 const tickMS = 25
 
-// advance lets time pass in ticks and gives the delayed inputs that fall due.
-func (b *bench) advance(to int) {
-	for b.at < to {
-		b.at++
-		for len(b.later) > 0 && b.later[0].at <= b.at {
-			next := b.later[0]
-			b.later = b.later[1:]
+// advance lets time pass in ticks and delivers the pending inputs that are due.
+func (b *replayer) advance(to int) {
+	for b.nowMS < to {
+		b.nowMS++
+		for len(b.pending) > 0 && b.pending[0].at <= b.nowMS {
+			next := b.pending[0]
+			b.pending = b.pending[1:]
 			if failed, ok := next.in.(route.Failed); ok {
 				b.end(next.gate, failed.Attempt)
 			}
-			b.give(next.gate, next.in)
+			b.deliver(next.gate, next.in)
 		}
-		if b.at%tickMS == 0 {
+		if b.nowMS%tickMS == 0 {
 			for _, name := range b.trace.Gates {
-				b.give(name, route.Tick{})
+				b.deliver(name, route.Tick{})
 			}
-			b.pace()
+			b.sendTokens()
 		}
 	}
 }
 
-func (b *bench) pace() {
+func (b *replayer) sendTokens() {
 	if !b.trace.Paced {
 		return
 	}
 	for _, key := range slices.Sorted(maps.Keys(b.byID)) {
 		if r := b.byID[key]; r.live && !b.dead[r.replica] && !b.frozen[r.replica] {
 			r.tokens++
-			b.give(r.gate, route.Progress{Attempt: r.attempt, Tokens: r.tokens, Delivered: !r.batch})
+			b.deliver(r.gate, route.Progress{Attempt: r.attempt, Tokens: r.tokens, Delivered: !r.batch})
 		}
 	}
 }
 
-func (b *bench) replicaOf(st step) upstream.ReplicaID {
+func (b *replayer) replicaOf(st step) upstream.ReplicaID {
 	if r := b.attempts[st.Replica]; r != nil {
 		return r.replica
 	}
 	return upstream.ReplicaID(st.Replica)
 }
 
-func (b *bench) run(st step) {
+func (b *replayer) run(st step) {
 	b.advance(st.At)
 	gate := st.Gate
 	if gate == "" {
@@ -252,19 +252,19 @@
 	switch st.Do {
 	case "arrive":
 		for i := range max(st.Count, 1) {
-			b.give(gate, route.Arrive{Request: b.request(st, i)})
+			b.deliver(gate, route.Arrive{Request: b.request(st, i)})
 		}
 	case "progress":
-		b.give(r.gate, route.Progress{Attempt: r.attempt, Tokens: st.Tokens, Delivered: !r.batch})
+		b.deliver(r.gate, route.Progress{Attempt: r.attempt, Tokens: st.Tokens, Delivered: !r.batch})
 	case "finish":
 		if r.live {
 			b.end(r.gate, r.attempt)
 			b.state[r.id] = "done"
 		}
-		b.give(r.gate, route.Finished{Attempt: r.attempt})
+		b.deliver(r.gate, route.Finished{Attempt: r.attempt})
 	case "fail":
 		b.end(r.gate, r.attempt)
-		b.give(r.gate, route.Failed{Attempt: r.attempt, Cause: route.FailureCause(st.Cause)})
+		b.deliver(r.gate, route.Failed{Attempt: r.attempt, Cause: route.FailureCause(st.Cause)})
 	case "kill":
 		b.killReplica(b.replicaOf(st))
 	case "freeze":
@@ -277,28 +277,28 @@
 	case "gates":
 		for name := range b.shards {
 			if !slices.Contains(st.Gates, name) {
-				b.kill(name)
+				b.killGate(name)
 			}
 		}
 		for _, name := range st.Gates {
-			b.give(name, route.GatesChanged{Gates: gatesOf(st.Gates)})
+			b.deliver(name, route.GatesChanged{Gates: gatesOf(st.Gates)})
 		}
 	case "expect":
 		b.expect(st)
 	default:
 		b.failf("unknown step %q", st.Do)
 	}
-	b.measure()
+	b.recordPeak()
 }
 
-func (b *bench) kill(gate string) {
+func (b *replayer) killGate(gate string) {
 	delete(b.shards, gate)
 	for _, r := range b.byID {
 		r.live = r.live && r.gate != gate
 	}
 }
 
-func (b *bench) request(st step, i int) route.Request {
+func (b *replayer) request(st step, i int) route.Request {
 	id := st.ID
 	if st.Count > 0 {
 		id = fmt.Sprintf("%s-%d", st.ID, i)
@@ -319,11 +319,11 @@
 	return request
 }
 
-func (b *bench) failf(format string, args ...any) {
-	b.failures = append(b.failures, fmt.Sprintf("at %d ms: ", b.at)+fmt.Sprintf(format, args...))
+func (b *replayer) failf(format string, args ...any) {
+	b.failures = append(b.failures, fmt.Sprintf("at %d ms: ", b.nowMS)+fmt.Sprintf(format, args...))
 }
 
-func (b *bench) expect(st step) {
+func (b *replayer) expect(st step) {
 	for id, want := range st.Want {
 		got := b.state[id]
 		running := strings.HasPrefix(got, "r") && b.dead[upstream.ReplicaID(got)] == false && len(got) <= 3
@@ -342,10 +342,10 @@
 	if st.MaxLoad > 0 && b.peak > st.MaxLoad {
 		b.failf("%d requests at once on a replica with batch, want at most %d", b.peak, st.MaxLoad)
 	}
-	b.expectPlaces(st)
+	b.expectReplicas(st)
 }
 
-func (b *bench) expectPlaces(st step) {
+func (b *replayer) expectReplicas(st step) {
 	seen := map[upstream.ReplicaID]string{}
 	for _, name := range st.Apart {
 		r := b.attempts[name]
@@ -362,7 +362,7 @@
 		id := b.replicaOf(step{Replica: name})
 		for key, r := range b.attempts {
 			if r.replica == id && r.at > st.Since {
-				b.failf("%s went to %s", key, id)
+				b.failf("%s was sent to %s", key, id)
 			}
 		}
 	}
--- a/internal/route/replica.go
+++ b/internal/route/replica.go
@@ -10,106 +10,106 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// health is what the gate believes of a replica's process.
+// health is the gate's conclusion about a replica's process.
 type health int
 
 const (
 	healthy health = iota
-	// suspect: an attempt failed or went silent. It gets no new work until a
-	// probe over a fresh connection has been answered.
+	// suspect: an attempt failed or was silent. The replica receives no new work until
+	// it answers a probe over a new connection.
 	suspect
 )
 
-// replica is one replica and the work that this gate has on it.
+// replica holds the state of a replica and the work of this gate on it.
 type replica struct {
 	entry       *upstream.Entry
-	heardAt     time.Time // when any attempt of this gate last had progress there
+	lastContact time.Time // when an attempt of this gate last made progress there
 	hash        uint64    // of its ID, for rendezvous hashing
-	incarnation uint64    // of the process that the attempts run on
+	incarnation uint64    // of the process that runs the attempts
 	dead        bool      // that process is known to have ended
-	listed      bool      // among those that take work, at the last rebuild
+	candidate   bool      // accepted work at the last rebuild of the lists
 	expired     bool      // no longer announced; kept until its attempts have ended
-	failures    int       // attempts in a row that the process answered with an error
-	fullUntil   time.Time // it declined a request; until then it gets no other
+	failures    int       // consecutive failed attempts on the process
+	fullUntil   time.Time // it declined a request; until then it receives no other
 
-	attempts []*attempt // live, in the order of their start
-	online   int        // of them, online, and those that wait for the feeder's word
-	batch    int        // of them, batch
+	attempts []*attempt // live, in order of their start
+	online   int        // live online attempts and reservations
+	batch    int        // live batch attempts
 
-	usage       []usage   // of other gates, for the gate that feeds the replica
-	known       highWater // highest known count while the last report was under way
-	unaccounted int       // requests in the last report that are not known
-	// By the word of the gate that feeds the replica, for the other gates.
+	loadReports []loadReport // of other gates, if this gate is the owner
+	knownPeak   highWater    // highest known count while the last announcement was on its way
+	unaccounted int          // requests in the last announcement that no gate has reported
+	// Load of the other gates according to the owner, if that is another gate.
 	othersOnline, othersBatch int
-	fedAt                     time.Time
-	unresponsiveUntil         time.Time // its feeder did not answer; until then no request waits for it
+	ownerReportAt             time.Time
+	ownerUnresponsiveUntil    time.Time // its owner did not answer; until then no request waits for it
 
-	told      int       // online requests that the feeding gate was last told of
-	toldBatch int       // the same for batch
-	word      uint64    // number of what it was last told
-	toldAt    time.Time // when the feeding gate was last told of this gate's requests
+	reportedOnline int       // online requests in the last load report to the owner
+	reportedBatch  int       // batch requests in the last load report to the owner
+	reportNumber   uint64    // number of the last load report to the owner
+	reportedAt     time.Time // when this gate's load was last reported to the owner
 
-	feedVersion uint64 // table version of the last change of batch
-	feeder      string // the gate that feeds it with batch
+	loadVersion uint64 // table version of the last change of its load
+	owner       string // ID of the gate that owns it
 	holdUntil   time.Time
-	yieldedAt   time.Time // when batch of this gate was last stopped on it
-
-	health   health
-	probing  bool // a probe is under way; until it is answered nothing new goes there
-	probeAt  time.Time
-	probeGap time.Duration
-	missed   bool                   // a probe was not answered since it became suspect
-	penalty  time.Time              // until then an answered probe does not bring it back
-	orphans  []upstream.Fingerprint // of requests given up while they awaited the probe
-	rampFrom time.Time              // start of slow start; zero when over
+	preemptedAt time.Time // when batch work of this gate was last preempted on it
+
+	health          health
+	probing         bool // a probe is under way; nothing new is sent there until it ends
+	probeAt         time.Time
+	probeDelay      time.Duration
+	missedProbe     bool                   // a probe was not answered since it became suspect
+	penaltyUntil    time.Time              // until then an answered probe does not return it to use
+	abandonedPrints []upstream.Fingerprint // fingerprints of requests that were removed or moved before their probe ended
+	slowStartFrom   time.Time              // start of the slow start; zero when it is over
 }
 
-// takesWork says whether new requests may go to the replica.
+// takesWork reports whether new requests may be sent to the replica.
 func (s *Shard) takesWork(r *replica) bool {
 	leaving := r.entry.Leaving && !s.config.Disabled.Leaving
 	return r.entry.Ready && !leaving && r.health == healthy && !r.probing && !r.expired
 }
 
-// slots gives the slots to use, fewer while the replica starts slowly: a
-// process that has just come back has cold caches and may fail again.
+// slots returns the number of slots to use, which is lower during a slow start: a
+// restarted process has cold caches and may fail again.
 func (s *Shard) slots(r *replica) int {
-	if r.rampFrom.IsZero() {
+	if r.slowStartFrom.IsZero() {
 		return r.entry.Slots
 	}
-	elapsed := s.at.Sub(r.rampFrom)
+	elapsed := s.now.Sub(r.slowStartFrom)
 	if elapsed >= s.config.SlowStart {
-		r.rampFrom = time.Time{}
+		r.slowStartFrom = time.Time{}
 		return r.entry.Slots
 	}
 	share := float64(elapsed) / float64(s.config.SlowStart)
 	return max(1, int(share*float64(r.entry.Slots)))
 }
 
-// foreign estimates the requests that other gates have on the replica.
+// othersLoad estimates the requests that other gates have on the replica.
 //
-// The feeding gate is told by each gate how many requests it has there, at once
-// when that changes, and tells the others. The replica's own reports lag, and
-// only serve to find work that no gate accounts for. Had the gates to rely on
-// the reports, batch would take the slot that another gate's request is about to
-// use, and a burst would meet on the replica that was idle half a second ago.
-func (s *Shard) foreign(r *replica) (online, batch int) {
+// Each gate reports its load on a replica to the owner as soon as it changes, and the
+// owner reports the sum to the others. The replica's own announcements lag, and only
+// reveal work that no gate has reported. If gates relied on announcements, batch work
+// would take slots that another gate's request is about to use, and a burst would
+// concentrate on the replica that was idle half a second ago.
+func (s *Shard) othersLoad(r *replica) (online, batch int) {
 	switch {
-	case s.feeds(r):
-		online, batch = s.used(r)
+	case s.ownsReplica(r):
+		online, batch = s.sumLoadReports(r)
 		return online + r.unaccounted, batch
-	case s.config.PlaceWait > 0 && !s.knows(r):
-		return s.expectedOnline(r), r.othersBatch
-	case s.fedFresh(r):
+	case s.config.PlaceWait > 0 && !s.hasRecentReport(r):
+		return s.estimateOthersOnline(r), r.othersBatch
+	case s.isOwnerReportFresh(r):
 		return r.othersOnline, r.othersBatch
 	default:
 		return r.unaccounted, 0
 	}
 }
 
-// used sums what the other gates said they have on the replica.
-func (s *Shard) used(r *replica) (online, batch int) {
-	for _, u := range r.usage {
-		if s.at.Sub(u.at) < usageLifetime {
+// sumLoadReports returns the sum of the other gates' load reports on the replica.
+func (s *Shard) sumLoadReports(r *replica) (online, batch int) {
+	for _, u := range r.loadReports {
+		if s.now.Sub(u.at) < reportLifetime {
 			online += u.online
 			batch += u.batch
 		}
@@ -119,24 +119,24 @@
 
 // onlineLoad estimates the online requests on the replica.
 func (s *Shard) onlineLoad(r *replica) int {
-	online, _ := s.foreign(r)
+	online, _ := s.othersLoad(r)
 	return r.online + online
 }
 
 // totalLoad estimates all requests on the replica.
 func (s *Shard) totalLoad(r *replica) int {
-	online, batch := s.foreign(r)
+	online, batch := s.othersLoad(r)
 	return r.online + r.batch + online + batch
 }
 
-// ratio is the online load as a share of the usable slots.
-func (s *Shard) ratio(r *replica) float64 {
+// loadRatio returns the online load as a share of the usable slots.
+func (s *Shard) loadRatio(r *replica) float64 {
 	return float64(s.onlineLoad(r)) / float64(s.slots(r))
 }
 
-// hasRoom says whether an online request may be sent now.
+// hasRoom reports whether an online request may be sent now.
 func (s *Shard) hasRoom(r *replica) bool {
-	if s.at.Before(r.fullUntil) {
+	if s.now.Before(r.fullUntil) {
 		return false
 	}
 	slots := s.slots(r)
@@ -144,26 +144,27 @@
 	return s.onlineLoad(r) < slots+extra
 }
 
-// hasSlot says whether an online request finds a slot at once, or one that
-// batch gives up for it.
+// hasSlot reports whether an online request finds a free slot or one that batch work
+// releases for it.
 func (s *Shard) hasSlot(r *replica) bool { return s.onlineLoad(r) < s.slots(r) }
 
-// observeReport works out which part of a new load report no gate accounts for.
-// The report lags, so it is set against the highest count of the time that it
-// may speak of: what is left was surely not this gate's.
-func (s *Shard) observeReport(r *replica) {
-	r.unaccounted = max(0, r.entry.Running+r.entry.Queued-s.noteKnown(r))
+// updateUnaccounted computes how many requests in a new announcement no gate has
+// reported. Announcements lag, so the load is compared with the highest known count of
+// the time that the announcement may describe; the rest cannot be requests of known
+// gates.
+func (s *Shard) updateUnaccounted(r *replica) {
+	r.unaccounted = max(0, r.entry.Running+r.entry.Queued-s.updateKnownPeak(r))
 }
 
-// noteKnown keeps the high-water mark of the known requests current; called at
-// each change of them.
-func (s *Shard) noteKnown(r *replica) int {
-	online, batch := s.used(r)
-	return r.known.observe(s.at, s.config.ReportLag, len(r.attempts)+online+batch)
+// updateKnownPeak updates the high-water mark of the known requests and returns it. It
+// must be called at each change of them.
+func (s *Shard) updateKnownPeak(r *replica) int {
+	online, batch := s.sumLoadReports(r)
+	return r.knownPeak.observe(s.now, s.config.ReportLag, len(r.attempts)+online+batch)
 }
 
 func (in Announced) apply(s *Shard) {
-	change, err := s.table.Announce(s.at, in.Announcement)
+	change, err := s.table.Announce(s.now, in.Announcement)
 	if err != nil {
 		s.count(upstream.ReasonBadAnnouncement)
 		return
@@ -172,7 +173,7 @@
 }
 
 func (in Reported) apply(s *Shard) {
-	change, err := s.table.Report(s.at, in.Digest)
+	change, err := s.table.Report(s.now, in.Digest)
 	if err != nil {
 		s.count(upstream.ReasonBadAnnouncement)
 		return
@@ -184,20 +185,20 @@
 	switch change {
 	case upstream.ChangeNone:
 		if known := s.table.Get(id); known != nil && sequence != known.Sequence {
-			s.count(upstream.ReasonStaleAnnouncement) // late; a copy of the last one is usual
+			s.count(upstream.ReasonStaleAnnouncement) // out of order; a duplicate of the last announcement is normal
 		}
 		return
 	case upstream.ChangeJoin:
 		s.join(id)
 	case upstream.ChangeRestart:
-		s.restarted(s.replica(id))
+		s.handleRestart(s.replica(id))
 	}
 	r := s.replica(id)
-	s.observeReport(r)
-	if change != upstream.ChangeLoad || r.listed != s.takesWork(r) {
+	s.updateUnaccounted(r)
+	if change != upstream.ChangeLoad || r.candidate != s.takesWork(r) {
 		s.stale = true
 	}
-	s.yieldSlots(r, "")
+	s.freeSlots(r, "")
 	s.pump()
 }
 
@@ -206,7 +207,7 @@
 		r.entry = s.table.Get(id)
 		r.expired = false
 		if r.entry.Incarnation > r.incarnation {
-			s.restarted(r)
+			s.handleRestart(r)
 		}
 		return
 	}
@@ -216,23 +217,22 @@
 		return strings.Compare(string(r.entry.Replica), string(id))
 	})
 	s.replicas = slices.Insert(s.replicas, i, r)
-	r.feeder = s.feederOf(r)
+	r.owner = s.ownerOf(r)
 }
 
-// restarted handles a new incarnation: the old process is gone with what it
-// ran, and the new one starts slowly.
-func (s *Shard) restarted(r *replica) {
-	s.died(r, EvidenceAnnounced)
+// handleRestart handles a new incarnation: the requests on the old process are lost,
+// and the new process starts slowly.
+func (s *Shard) handleRestart(r *replica) {
+	s.handleDeath(r, EvidenceAnnounced)
 	r.incarnation = r.entry.Incarnation
 	r.failures = 0
 	s.recover(r, true, EvidenceAnnounced)
 }
 
-// expire takes replicas out of use that have not been announced for too long.
-// Their attempts go on: the announcements may have been lost on their way while
-// the streams are in good order.
+// expire takes replicas out of use that have not been announced for too long. Their
+// attempts continue, since the announcements may have been lost while the streams work.
 func (s *Shard) expire() {
-	for _, gone := range s.table.Expire(s.at) {
+	for _, gone := range s.table.Expire(s.now) {
 		s.replica(gone.Replica).expired = true
 		s.hints.Forget(gone.Replica)
 		s.stale = true
@@ -246,8 +246,8 @@
 
 func (in Withdrawn) apply(s *Shard) { s.withdraw(in.Replica, in.Incarnation) }
 
-// withdraw takes a replica out of use whose process is gone. Its attempts end by
-// themselves.
+// withdraw takes a replica out of use whose process has ended. Its attempts end on
+// their own.
 func (s *Shard) withdraw(id upstream.ReplicaID, incarnation uint64) {
 	if !s.table.Remove(id, incarnation) {
 		return
@@ -260,8 +260,8 @@
 	s.count(ReasonEntryExpired)
 }
 
-// rebuild lists the replicas that take work by distance, and those that this gate
-// feeds with batch.
+// rebuild updates the lists of replicas that accept work, by distance, and of those
+// that this gate owns.
 func (s *Shard) rebuild() {
 	if !s.stale {
 		return
@@ -269,10 +269,10 @@
 	s.stale = false
 	s.local = s.local[:0]
 	s.remote = s.remote[:0]
-	s.fed = s.fed[:0]
+	s.owned = s.owned[:0]
 	for _, r := range s.replicas {
-		r.listed = s.takesWork(r)
-		if !r.listed {
+		r.candidate = s.takesWork(r)
+		if !r.candidate {
 			continue
 		}
 		if r.entry.Place == s.config.Place {
@@ -280,8 +280,8 @@
 		} else {
 			s.remote = append(s.remote, r)
 		}
-		if s.feeds(r) {
-			s.fed = append(s.fed, r)
+		if s.ownsReplica(r) {
+			s.owned = append(s.owned, r)
 		}
 	}
 }
--- a/internal/route/rig_test.go
+++ b/internal/route/rig_test.go
@@ -12,28 +12,28 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// rig drives one shard by hand and keeps what it put out.
+// rig drives one shard and records its outputs.
 type rig struct {
-	t        *testing.T
-	shard    *route.Shard
-	now      time.Time
-	sequence uint64
-	on       map[string]route.Dispatch // latest dispatch of a request
-	sent     map[string]int            // dispatches of a request
-	stopped  map[route.AttemptID]route.CancelCause
-	refused  map[string]*apierr.Error
-	probed   []upstream.ReplicaID // asked whether they live
-	resets   []upstream.ReplicaID // whose pools were dropped
-	handed   []route.HandOver     // asked for
+	t            *testing.T
+	shard        *route.Shard
+	now          time.Time
+	sequence     uint64
+	lastDispatch map[string]route.Dispatch // latest dispatch of a request
+	sent         map[string]int            // dispatches of a request
+	cancelled    map[route.AttemptID]route.CancelCause
+	refused      map[string]*apierr.Error
+	probed       []upstream.ReplicaID // probed replicas
+	resets       []upstream.ReplicaID // replicas whose pools were closed
+	handOvers    []route.HandOver     // requested handovers
 }
 
-// newRig makes a shard of gate-1 among two gates, with replicas r0, r1, … of
-// two slots each, all in its own place.
+// newRig returns a rig with the shard of gate-1 and replicas r0, r1, … of two slots
+// each, all in its own place.
 func newRig(t *testing.T, config route.Config, replicas int) *rig {
 	config.Self, config.Place = "gate-1", "glas-a"
 	r := &rig{
-		t: t, now: time.Unix(1_000_000, 0), on: map[string]route.Dispatch{}, sent: map[string]int{},
-		stopped: map[route.AttemptID]route.CancelCause{}, refused: map[string]*apierr.Error{},
+		t: t, now: time.Unix(1_000_000, 0), lastDispatch: map[string]route.Dispatch{}, sent: map[string]int{},
+		cancelled: map[route.AttemptID]route.CancelCause{}, refused: map[string]*apierr.Error{},
 	}
 	r.shard = route.NewShard(config, rand.New(rand.NewPCG(1, 2)))
 	for i := range replicas {
@@ -59,10 +59,10 @@
 	for _, o := range slices.Clone(r.shard.Step(r.now, in)) {
 		switch o := o.(type) {
 		case route.Dispatch:
-			r.on[o.ID] = o
+			r.lastDispatch[o.ID] = o
 			r.sent[o.ID]++
 		case route.Cancel:
-			r.stopped[o.Attempt] = o.Cause
+			r.cancelled[o.Attempt] = o.Cause
 		case route.Refuse:
 			r.refused[o.ID] = o.Err
 		case route.Probe:
@@ -70,12 +70,12 @@
 		case route.Reset:
 			r.resets = append(r.resets, o.Replica)
 		case route.HandOver:
-			r.handed = append(r.handed, o)
+			r.handOvers = append(r.handOvers, o)
 		}
 	}
 }
 
-// pass lets time go by in ticks.
+// pass advances time in ticks.
 func (r *rig) pass(d time.Duration) {
 	const tick = 25 * time.Millisecond
 	for end := r.now.Add(d); r.now.Before(end); {
@@ -91,9 +91,9 @@
 	r.step(route.Arrive{Request: request})
 }
 
-// die ends the process that a request runs on; another one follows it.
-func (r *rig) die(request string) {
-	d := r.on[request]
+// killProcess ends the process that a request runs on; another one replaces it.
+func (r *rig) killProcess(request string) {
+	d := r.lastDispatch[request]
 	r.step(route.Failed{Attempt: d.Attempt, Cause: route.CauseBroken})
 	r.step(route.Probed{Replica: d.Target.Replica, Refused: true})
 	r.announce(string(d.Target.Replica), d.Target.Incarnation+1)
--- a/internal/route/shard.go
+++ b/internal/route/shard.go
@@ -10,72 +10,72 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// Shard decides for one service. It is not safe for concurrent use.
+// Shard makes the decisions for one service. It is not safe for concurrent use.
 type Shard struct {
 	config Config
 	rng    *rand.Rand
-	at     time.Time // the time of the current input
+	now    time.Time // time of the current input
 
 	table   *upstream.Table
-	strikes *upstream.Strikes
+	crashes *upstream.Strikes
 	hints   *upstream.CacheHints
 	gates   []Gate
 
-	expected int // gates that there are, known or not
-
-	replicas []*replica // in the order of their IDs
-	local    []*replica // of the own place, that take work
-	remote   []*replica // of other places, that take work
-	fed      []*replica // that this gate feeds with batch and that take work
-	stale    bool       // local, remote and fed must be rebuilt
-
-	requests map[string]*request
-	attempts map[AttemptID]*attempt
-	copies   map[upstream.Fingerprint]*copies
-	teams    map[string]*teamState
-	waiting  waitQueue // online requests without an attempt, by deadline
-	batch    waitQueue // batch items without an attempt, by deadline
-	known    knownLoad
-	lastItem *request  // the batch item that was sent last
-	placing  []placing // online requests that wait for a feeder's word, in the order of their start
-
-	budget        retryBudget
-	answer        delayMeter // of whole online answers
-	firstToken    delayMeter
-	tokenGap      delayMeter // between two events of a stream
-	itemWork      delayMeter // of batch items: time on replicas from their start to their end
-	onlineRunning int        // live online attempts
-	nextAttempt   AttemptID
-	draining      bool
-
-	out []Output
+	expectedGates int // number of gates in the fleet, including unknown ones
+
+	replicas []*replica // in order of their IDs
+	local    []*replica // in the gate's own place, accepting work
+	remote   []*replica // in other places, accepting work
+	owned    []*replica // owned by this gate, accepting work
+	stale    bool       // local, remote and owned must be rebuilt
+
+	requests       map[string]*request
+	attempts       map[AttemptID]*attempt
+	copies         map[upstream.Fingerprint]*copyState
+	teams          map[string]*teamState
+	onlineQueue    waitQueue // online requests without an attempt
+	batchQueue     waitQueue // batch items without an attempt
+	othersReported reportedLoad
+	lastBatchItem  *request      // the batch item that was dispatched last
+	reservations   []reservation // online requests that wait for an owner's acknowledgement, in order of their start
+
+	budget         retryBudget
+	answerTime     delayMeter // of whole online answers
+	firstTokenTime delayMeter
+	tokenGap       delayMeter // between two events of a stream
+	itemRunTime    delayMeter // time on replicas from the start to the end of a batch item
+	onlineRunning  int        // live online attempts and reservations
+	nextAttempt    AttemptID
+	draining       bool
+
+	outputs []Output
 }
 
-// request is a request that has no final answer yet.
+// request is a request without a final answer.
 type request struct {
 	Request
-	arrived   time.Time
-	live      []*attempt
-	tried     int  // replicas that may have run it
-	declined  int  // attempts that provably did not run
-	tokens    int  // reached by the attempts so far
-	delivered bool // the caller has part of the answer
-	maybeRan  bool // some attempt reached a replica
-	avoid     []upstream.ReplicaID
-	worked    time.Duration // of a batch item: on replicas, in attempts that have ended
-	stalls    int           // how often its answer was taken up after a stall
-	late      bool          // its answer has lost part of its use while it waited
-	queuedAt  time.Time     // since when it has waited for a replica; zero: it does not wait
-	behind    int           // requests that waited before it then
-	notBefore time.Time
-	next      DispatchKind  // kind of the next dispatch
-	struck    bool          // a replica died while it ran
-	struckAt  int           // tokens reached at that time
-	awaiting  *replica      // a probe of it decides before the next attempt
-	since     time.Time     // when it began to await
-	places    int           // replicas whose feeders were asked for a slot
-	verdict   *apierr.Error // its final answer, held back until then; nil: it is tried again
-	unfedAt   time.Time     // of a waiting batch item: since when this gate feeds no replica for it
+	arrived          time.Time
+	live             []*attempt
+	tried            int  // replicas that may have run it
+	declined         int  // attempts that provably did not run
+	tokens           int  // reached by the attempts so far
+	delivered        bool // the caller has part of the answer
+	maybeRan         bool // some attempt reached a replica
+	avoid            []upstream.ReplicaID
+	runTime          time.Duration // time on replicas in attempts that have ended
+	stalls           int           // how often its answer was resumed after a stall
+	overdue          bool          // it missed its target while it waited
+	queuedAt         time.Time     // when it was queued; zero: it is not queued
+	aheadInQueue     int           // requests ahead of it when it was queued
+	notBefore        time.Time
+	next             DispatchKind  // kind of the next dispatch
+	replicaDied      bool          // a replica died while running it
+	tokensAtDeath    int           // tokens reached at that time
+	awaitedReplica   *replica      // the probe of this replica must end before the next attempt
+	awaitingSince    time.Time     // when that wait began
+	reservationTries int           // owners that were asked for a slot
+	heldError        *apierr.Error // final error, held until the probe ends; nil: the request is retried
+	unassignedSince  time.Time     // since when this gate owns no replica for this waiting batch item
 }
 
 func (r *request) avoidReplica(id upstream.ReplicaID) {
@@ -84,22 +84,21 @@
 	}
 }
 
-// attempt is one try of a request on one replica.
+// attempt is one attempt of a request on one replica.
 type attempt struct {
-	id        AttemptID
-	req       *request
-	on        *replica
-	started   time.Time
-	progress  time.Time // when anything last arrived
-	tokens    int
-	queued    bool       // it may have to wait for a slot of the replica
-	handedTo  *replica   // it is being handed over, to this replica if that has room
-	broke     bool       // its connection ended meanwhile
-	offeredTo []*replica // replicas that were asked to take it over
+	id             AttemptID
+	req            *request
+	replica        *replica
+	started        time.Time
+	lastProgress   time.Time // when anything last arrived
+	tokens         int
+	queued         bool       // may have to wait for a slot of the replica
+	handoverTarget *replica   // replica that is asked to take over the run; nil: none
+	disconnected   bool       // its connection ended during the handover
+	handoverOffers []*replica // replicas that were asked to take over the run
 }
 
-// NewShard makes a shard. The same config, seed and inputs give the same
-// outputs.
+// NewShard returns a shard. The same config, seed and inputs produce the same outputs.
 func NewShard(config Config, rng *rand.Rand) *Shard {
 	config = config.WithDefaults()
 	table := upstream.NewTable(config.EntryLifetime)
@@ -107,26 +106,26 @@
 		config:   config,
 		rng:      rng,
 		table:    table,
-		strikes:  upstream.NewStrikes(config.StrikeLifetime, table.Bump),
+		crashes:  upstream.NewStrikes(config.CrashLifetime, table.Bump),
 		hints:    upstream.NewCacheHints(),
 		requests: make(map[string]*request),
 		attempts: make(map[AttemptID]*attempt),
-		copies:   make(map[upstream.Fingerprint]*copies),
+		copies:   make(map[upstream.Fingerprint]*copyState),
 		teams:    make(map[string]*teamState),
 		budget:   newRetryBudget(config.RetryShare, config.RetryReserve),
 	}
 }
 
-// Step takes in what happened at now and returns what to do. The slice is
+// Step applies an input at time now and returns the outputs to carry out. The slice is
 // valid until the next Step.
 func (s *Shard) Step(now time.Time, in Input) []Output {
-	s.at = now
-	s.out = s.out[:0]
+	s.now = now
+	s.outputs = s.outputs[:0]
 	in.apply(s)
-	return s.out
+	return s.outputs
 }
 
-func (s *Shard) emit(o Output) { s.out = append(s.out, o) }
+func (s *Shard) emit(o Output) { s.outputs = append(s.outputs, o) }
 
 func (s *Shard) count(reason apierr.Reason) { s.emit(Count{Reason: reason}) }
 
@@ -140,64 +139,65 @@
 	return s.replicas[i]
 }
 
-// Changes gives the digest of what changed after version since: replicas,
-// strikes and the load of the replicas that this gate feeds; and the version now.
+// Changes returns the digest of the changes after version since and the current
+// version. The digest covers replicas, crash records and the load of the replicas that
+// this gate owns.
 func (s *Shard) Changes(since uint64) (upstream.Digest, uint64) {
 	d, version := s.table.Changes(since)
-	d.Strikes = s.strikes.Changes(since)
+	d.Strikes = s.crashes.Changes(since)
 	for _, r := range s.replicas {
-		if s.feeds(r) && r.feedVersion > since {
-			d.Feeding = append(d.Feeding, s.feeding(r))
+		if s.ownsReplica(r) && r.loadVersion > since {
+			d.Feeding = append(d.Feeding, s.ownerLoad(r))
 		}
 	}
 	return d, version
 }
 
-// LoadView is what a shard believes of a replica's load.
+// LoadView is a shard's estimate of a replica's load.
 type LoadView struct {
-	Slots, Online, Batch      int // Online and Batch are of this gate
+	Slots, Online, Batch      int // of this gate
 	OthersOnline, OthersBatch int
-	OthersAge                 time.Duration // of the word on the others, if another gate gave it
-	Waiting                   int           // requests that wait in this gate
+	OthersAge                 time.Duration // age of the owner's report; 0 if this gate is the owner
+	Waiting                   int           // requests queued in this gate
 }
 
-// Load gives what is believed of a replica's load now.
+// Load returns the current estimate of a replica's load.
 func (s *Shard) Load(id upstream.ReplicaID) LoadView {
-	view := LoadView{Waiting: s.waiting.len() + s.batch.len()}
+	view := LoadView{Waiting: s.onlineQueue.len() + s.batchQueue.len()}
 	r := s.replica(id)
 	if r == nil {
 		return view
 	}
 	view.Slots, view.Online, view.Batch = s.slots(r), r.online, r.batch
-	view.OthersOnline, view.OthersBatch = s.foreign(r)
-	if !s.feeds(r) && !r.fedAt.IsZero() {
-		view.OthersAge = s.at.Sub(r.fedAt)
+	view.OthersOnline, view.OthersBatch = s.othersLoad(r)
+	if !s.ownsReplica(r) && !r.ownerReportAt.IsZero() {
+		view.OthersAge = s.now.Sub(r.ownerReportAt)
 	}
 	return view
 }
 
-// Usable says whether any replica takes requests.
+// Usable reports whether any replica accepts requests.
 func (s *Shard) Usable() bool {
 	s.rebuild()
 	return len(s.local)+len(s.remote) > 0
 }
 
-// ReplicaView is what a shard knows of one replica.
+// ReplicaView is a snapshot of a shard's state for one replica.
 type ReplicaView struct {
 	Entry         *upstream.Entry // read only, until the next Step
 	Suspect       bool
-	Online, Batch int // requests of this gate on it
+	Online, Batch int // this gate's requests on it
 	Feeder        string
 }
 
-// Replicas lists all replicas in the order of their IDs.
+// Replicas returns all replicas in order of their IDs.
 func (s *Shard) Replicas() []ReplicaView {
 	views := make([]ReplicaView, 0, len(s.replicas))
 	for _, r := range s.replicas {
 		if !r.expired {
 			views = append(views, ReplicaView{
 				Entry: r.entry, Suspect: r.health == suspect,
-				Online: r.online, Batch: r.batch, Feeder: r.feeder,
+				Online: r.online, Batch: r.batch, Feeder: r.owner,
 			})
 		}
 	}
--- a/internal/route/spare_test.go
+++ b/internal/route/spare_test.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	spareSlots  = 8
-	spareItems  = 20
-	itemTime    = 6 * time.Second
-	onlineTime  = 650 * time.Millisecond
-	onlineEvery = 700 * time.Millisecond
+	replicaSlots = 8
+	itemCount    = 20
+	itemTime     = 6 * time.Second
+	onlineTime   = 650 * time.Millisecond
+	onlineEvery  = 700 * time.Millisecond
 )
 
-// fluctuate plays online requests that come and go one by one on a replica beside
-// batch items, until all items are done. It gives how often an item was stopped, and how long the
-// last one took. A due of zero stands for none.
-func fluctuate(t *testing.T, due time.Duration) (stopped int, took time.Duration) {
+// playOnlineOverBatch simulates online requests that arrive one by one on a replica
+// beside batch items, until all items are done. It returns how often an item was
+// preempted, and the time until the last item was done. A due of zero means no target.
+func playOnlineOverBatch(t *testing.T, due time.Duration) (preempted int, took time.Duration) {
 	r := newRig(t, route.Config{HedgeMin: -1, EntryLifetime: time.Hour}, 0)
 	r.step(route.GatesChanged{Gates: []route.Gate{{ID: "gate-1", Place: "glas-a"}}})
 	r.step(route.Announced{Announcement: upstream.Announcement{
 		Service: "wordroom", Kind: upstream.KindEngine, Replica: "r0", Incarnation: 1, Sequence: 1,
-		Address: "10.0.0.1:80", Place: "glas-a", CanResume: true, Load: upstream.Load{Slots: spareSlots, Ready: true},
+		Address: "10.0.0.1:80", Place: "glas-a", CanResume: true, Load: upstream.Load{Slots: replicaSlots, Ready: true},
 	}})
 	start := r.now
-	for i := range spareItems {
+	for i := range itemCount {
 		id := fmt.Sprint("item-", i)
 		item := route.Request{
 			ID: id, Class: route.Batch, Repeatable: true, Resumable: true, Patient: true, Fingerprint: upstream.FingerprintOf(id, nil),
@@ -45,7 +45,7 @@
 	ends := map[string]time.Time{}
 	next := r.now
 	const step = 10 * time.Millisecond
-	for n, left := 0, spareItems; left > 0; n++ {
+	for n, left := 0, itemCount; left > 0; n++ {
 		r.now = r.now.Add(step)
 		if !r.now.Before(next) {
 			next = r.now.Add(onlineEvery)
@@ -53,9 +53,9 @@
 			r.arrive(route.Request{ID: id, Class: route.Online, Fingerprint: upstream.FingerprintOf(id, nil)})
 			ends[id] = r.now.Add(onlineTime)
 		}
-		for _, id := range slices.Sorted(maps.Keys(r.on)) {
-			d := r.on[id]
-			if _, over := r.stopped[d.Attempt]; over {
+		for _, id := range slices.Sorted(maps.Keys(r.lastDispatch)) {
+			d := r.lastDispatch[id]
+			if _, over := r.cancelled[d.Attempt]; over {
 				continue
 			}
 			r.step(route.Progress{Attempt: d.Attempt, Tokens: n + 1})
@@ -67,7 +67,7 @@
 				continue
 			}
 			r.step(route.Finished{Attempt: d.Attempt})
-			delete(r.on, id)
+			delete(r.lastDispatch, id)
 			if !online {
 				left--
 			}
@@ -77,37 +77,37 @@
 			t.Fatalf("%d items are not done", left)
 		}
 	}
-	for _, cause := range r.stopped {
+	for _, cause := range r.cancelled {
 		if cause == route.CancelPreempted {
-			stopped++
+			preempted++
 		}
 	}
-	return stopped, r.now.Sub(start)
+	return preempted, r.now.Sub(start)
 }
 
-// A parent's question comes to an engine full of batch, and another one goes. Each
-// stops an item that began a moment ago: half of all runs last less than 0.2 s, and
-// each of them opens a connection and has its prompt read again.
+// Guards against online requests that arrive one by one on an engine full of batch work
+// and each preempt an item that has just started: half of all runs lasted less than 0.2
+// s, and each opened a connection and processed its prompt again.
 func TestItemsWithTimeLeaveASlotToSpare(t *testing.T) {
 	const due = 3 * time.Minute
-	spared, took := fluctuate(t, due)
-	each, without := fluctuate(t, 0)
-	t.Logf("with a slot to spare %d runs stopped in %s, without %d in %s", spared, took, each, without)
-	if spared > 0 {
-		t.Errorf("%d runs were stopped for requests that come one by one", spared)
+	reserved, took := playOnlineOverBatch(t, due)
+	unreserved, without := playOnlineOverBatch(t, 0)
+	t.Logf("with a reserved slot %d runs were preempted in %s, without it %d in %s", reserved, took, unreserved, without)
+	if reserved > 0 {
+		t.Errorf("%d runs were preempted for requests that arrive one by one", reserved)
 	}
-	if each == 0 {
-		t.Errorf("%d runs were stopped where items take each slot: the load shows nothing", each)
+	if unreserved == 0 {
+		t.Errorf("%d runs were preempted without a reserved slot: the load does not exercise it", unreserved)
 	}
 	if took > due {
 		t.Errorf("the last item took %s, due after %s", took, due)
 	}
 }
 
-// Items that are short of time take each free slot, as if none had been spared.
+// Items that are short of time take every free slot, as if none were reserved.
 func TestItemsShortOfTimeSpareNothing(t *testing.T) {
-	_, took := fluctuate(t, 2*itemTime)
-	if _, without := fluctuate(t, 0); took > without+itemTime {
-		t.Errorf("the last item took %s, %s where none is spared", took, without)
+	_, took := playOnlineOverBatch(t, 2*itemTime)
+	if _, without := playOnlineOverBatch(t, 0); took > without+itemTime {
+		t.Errorf("the last item took %s, %s without reserved slots", took, without)
 	}
 }
--- a/internal/route/stall.go
+++ b/internal/route/stall.go
@@ -7,22 +7,22 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// maxStalls is how often one answer is taken up again after a stall. A second lost
-// packet of one answer is rare, and a slow replica is the likelier cause.
-const maxStalls = 1
+// maxStallResumes is how often one answer is resumed after a stall. A second lost
+// packet in one answer is rare; a slow replica is the likelier cause.
+const maxStallResumes = 1
 
-// stallFactor is how much longer than nearly all pauses a stall is.
+// stallFactor multiplies the time that nearly all pauses stay below; a longer pause is
+// a stall.
 const stallFactor = 1.5
 
-// checkStalls takes up answers again whose connection has stalled.
+// checkStalls resumes answers whose connection has stalled.
 //
-// Failure guarded against: a packet between a replica and the gate is lost. TCP
-// sends it again only after its retransmission timeout, and until then every later
-// event of the answer waits in the kernel; a caller who reads along sees the text
-// stop. The replica answers others meanwhile. Over another connection to it the
-// answer goes on at the next event, with the prompt still cached there. A pause that
-// counts as a stall is longer than nearly all pauses in good order, so that few
-// answers are taken up in vain.
+// When a packet between replica and gate is lost, TCP retransmits it only after its
+// timeout, and until then every later event of the answer waits in the kernel; a caller
+// who reads the stream sees the text stop. The replica still answers others. Over
+// another connection to it the answer continues at the next event, with the prompt
+// still cached there. A stall is longer than nearly all normal pauses, so that few
+// answers are resumed unnecessarily.
 func (s *Shard) checkStalls(r *replica) {
 	if s.config.StallMin <= 0 || len(r.attempts) == 0 || !s.takesWork(r) {
 		return
@@ -30,7 +30,7 @@
 	after := s.stallAfter()
 	for _, a := range slices.Clone(r.attempts) {
 		switch {
-		case !s.hasStalled(a, after):
+		case !s.isResumableStall(a, after):
 		case a.req.Resumable:
 			s.resumeStalled(a)
 		default:
@@ -40,35 +40,36 @@
 }
 
 func (s *Shard) stallAfter() time.Duration {
-	usual := time.Duration(stallFactor * float64(s.tokenGap.high()))
+	usual := time.Duration(stallFactor * float64(s.tokenGap.upperBound()))
 	return max(s.config.StallMin, usual)
 }
 
-// observeGap takes in a pause between two events. Stalls count for no more than
-// the limit, so that single ones do not move it and a slower engine does.
+// observeGap records a pause between two events. Stalls count at most as the limit, so
+// that single ones do not raise it, but a slower engine does.
 func (s *Shard) observeGap(gap time.Duration) {
 	if s.config.StallMin > 0 {
 		s.tokenGap.observe(min(gap, s.stallAfter()))
 	}
 }
 
-func (s *Shard) hasStalled(a *attempt, after time.Duration) bool {
+func (s *Shard) isResumableStall(a *attempt, after time.Duration) bool {
 	req := a.req
-	mayGoOn := req.Class == Online && req.delivered && (req.Resumable || req.Movable) && a.on.entry.CanResume &&
-		a.tokens > 0 && len(req.live) == 1 && req.stalls < maxStalls
-	return mayGoOn && s.at.Sub(a.progress) >= after &&
-		s.strikes.Standing(s.at, req.Fingerprint) == upstream.StandingClear && s.othersMove(a, after)
+	mayGoOn := req.Class == Online && req.delivered && (req.Resumable || req.Movable) && a.replica.entry.CanResume &&
+		a.tokens > 0 && len(req.live) == 1 && req.stalls < maxStallResumes
+	return mayGoOn && s.now.Sub(a.lastProgress) >= after &&
+		s.crashes.Standing(s.now, req.Fingerprint) == upstream.StandingClear && s.othersProgress(a, after)
 }
 
-// othersMove says whether the replica makes events for others: if all its answers
-// are quiet, the replica is, and another connection to it would not help.
-func (s *Shard) othersMove(a *attempt, after time.Duration) bool {
+// othersProgress reports whether other streams of the replica make progress, or there
+// are none. If all of its answers are idle, the replica itself is stalled, and another
+// connection would not help.
+func (s *Shard) othersProgress(a *attempt, after time.Duration) bool {
 	others := 0
-	for _, other := range a.on.attempts {
+	for _, other := range a.replica.attempts {
 		if other == a || other.tokens == 0 {
 			continue
 		}
-		if s.at.Sub(other.progress) < after {
+		if s.now.Sub(other.lastProgress) < after {
 			return true
 		}
 		others++
@@ -76,13 +77,13 @@
 	return others == 0
 }
 
-// resumeStalled goes on with a stalled answer on the same replica. It is no further
-// replica, so that it does not count against those that may run the request.
+// resumeStalled resumes a stalled answer on the same replica. It does not count towards
+// the replicas that may run the request.
 func (s *Shard) resumeStalled(a *attempt) {
 	if !s.budget.take(hedgeReserve * s.config.RetryReserve * startShare) {
 		return
 	}
-	req, r := a.req, a.on
+	req, r := a.req, a.replica
 	s.cancel(a, CancelStalled)
 	s.count(ReasonStalled)
 	req.stalls++
--- a/internal/route/stall_test.go
+++ b/internal/route/stall_test.go
@@ -19,7 +19,7 @@
 	tokens map[string]int
 }
 
-// newStreamRig makes a rig without streams.
+// newStreamRig returns a rig without streams.
 func newStreamRig(t *testing.T, replicas int) *streams {
 	config := route.Config{HedgeMin: -1, ProbeAfter: time.Hour, StallMin: stallMin}
 	return &streams{rig: newRig(t, config, replicas), tokens: map[string]int{}}
@@ -39,41 +39,41 @@
 	return s
 }
 
-// run lets events come for the streams named, and ticks pass.
+// run advances time, with events for the given streams and ticks.
 func (s *streams) run(d time.Duration, ids ...string) {
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.now = s.now.Add(eventGap)
 		for _, id := range ids {
 			s.tokens[id]++
-			s.step(route.Progress{Attempt: s.on[id].Attempt, Tokens: s.tokens[id], Delivered: true})
+			s.step(route.Progress{Attempt: s.lastDispatch[id].Attempt, Tokens: s.tokens[id], Delivered: true})
 		}
 		s.step(route.Tick{})
 	}
 }
 
-// A reader sees a text stop for a quarter of a second in the middle of a sentence:
-// a packet on the connection to the replica was lost, and TCP waits before it
-// sends it again. The replica is in good order and answers others.
+// Guards against a stream that stalls for a quarter of a second: a packet on the
+// connection to the replica was lost, and TCP waits before it retransmits. The replica
+// works and answers others.
 func TestAStalledStreamGoesOnOverAnotherConnection(t *testing.T) {
 	s := newStreams(t, true, "stalled", "moving")
 	s.run(300*time.Millisecond, "stalled", "moving")
-	first := s.on["stalled"]
+	first := s.lastDispatch["stalled"]
 	s.run(stallMin-eventGap, "moving")
 	if s.sent["stalled"] != 1 {
-		t.Fatal("taken up after a pause that may be usual")
+		t.Fatal("resumed after a pause that may be normal")
 	}
 	s.run(2*eventGap, "moving")
-	again := s.on["stalled"]
+	again := s.lastDispatch["stalled"]
 	if s.sent["stalled"] != 2 || !again.Resume || again.Target.Replica != first.Target.Replica {
 		t.Fatalf("sent %d times, last as %+v", s.sent["stalled"], again)
 	}
 	if again.Queued != 0 {
-		t.Errorf("said to have waited %s for the second attempt", again.Queued)
+		t.Errorf("the second attempt reports a queue wait of %s", again.Queued)
 	}
-	if cause := s.stopped[first.Attempt]; cause != route.CancelStalled {
-		t.Errorf("the stalled attempt was stopped as %q", cause)
+	if cause := s.cancelled[first.Attempt]; cause != route.CancelStalled {
+		t.Errorf("the stalled attempt was cancelled as %q", cause)
 	}
-	// It stalls again: more likely the replica than the connection.
+	// A second stall is more likely caused by the replica than by the connection.
 	s.run(time.Second, "moving")
 	if s.sent["stalled"] != 2 {
 		t.Errorf("sent %d times", s.sent["stalled"])
@@ -81,7 +81,7 @@
 }
 
 func TestStreamsThatAreLeftAlone(t *testing.T) {
-	t.Run("no stream of the replica moves", func(t *testing.T) {
+	t.Run("no stream of the replica makes progress", func(t *testing.T) {
 		s := newStreams(t, true, "a", "b")
 		s.run(300*time.Millisecond, "a", "b")
 		s.run(500 * time.Millisecond)
@@ -89,7 +89,7 @@
 			t.Errorf("sent %d and %d times", s.sent["a"], s.sent["b"])
 		}
 	})
-	t.Run("it cannot go on at an event", func(t *testing.T) {
+	t.Run("it cannot resume at an event", func(t *testing.T) {
 		s := newStreams(t, false, "a", "b")
 		s.run(300*time.Millisecond, "a", "b")
 		s.run(500*time.Millisecond, "b")
@@ -97,7 +97,7 @@
 			t.Errorf("sent %d times", s.sent["a"])
 		}
 	})
-	t.Run("nothing has come yet", func(t *testing.T) {
+	t.Run("no event has arrived yet", func(t *testing.T) {
 		s := newStreams(t, true, "a", "b")
 		s.run(500*time.Millisecond, "b")
 		if s.sent["a"] != 1 {
@@ -106,8 +106,8 @@
 	})
 }
 
-// An engine turns slow: its events come 100 ms apart. To take up each answer
-// again would only add prompts to its work; the limit follows the pauses.
+// An engine becomes slow: its events arrive 100 ms apart. Resuming each answer would
+// only add prompts to its work, so the limit must follow the pauses.
 func TestASlowEngineIsNoStall(t *testing.T) {
 	s := newStreams(t, true, "a", "b")
 	s.run(300*time.Millisecond, "a", "b")
@@ -116,8 +116,8 @@
 			s.run(45*time.Millisecond, id)
 		}
 	}
-	if taken := s.sent["a"] + s.sent["b"] - 2; taken > 2 {
-		t.Errorf("%d answers were taken up", taken)
+	if resumed := s.sent["a"] + s.sent["b"] - 2; resumed > 2 {
+		t.Errorf("%d answers were resumed", resumed)
 	}
 	s.run(110*time.Millisecond, "b")
 	if s.sent["a"] > 2 {
--- a/internal/route/suspect_item_test.go
+++ b/internal/route/suspect_item_test.go
@@ -15,10 +15,9 @@
 	}
 }
 
-// A replica crashes while it runs an item; the gate that saw it is lost or has
-// given the item back. The lease goes to another gate, which must run it: refused
-// there, the item went from gate to gate until its job's time was over, with
-// every engine idle.
+// A replica crashes while it runs an item, and the gate that saw it is lost or has
+// returned the item. The gate that leases the item next must run it. When it refused,
+// the item passed from gate to gate until its job's deadline, with every engine idle.
 func TestASuspectItemRunsAtTheGateThatHoldsItsLease(t *testing.T) {
 	r := newRig(t, route.Config{}, 2)
 	r.step(route.GatesChanged{Gates: []route.Gate{{ID: "gate-0", Place: "glas-a"}, {ID: "gate-1", Place: "glas-a"}}})
@@ -36,7 +35,8 @@
 	}
 }
 
-// Guards against a job that stands still because the one gate that may try its item owns no replica.
+// Guards against a job that does not progress because the only gate that may try its
+// item owns no replica.
 func TestASuspectItemIsTriedByAGateThatOwnsAReplica(t *testing.T) {
 	r := newRig(t, route.Config{}, 1)
 	r.step(route.GatesChanged{Gates: []route.Gate{{ID: "gate-0", Place: "edin-b"}, {ID: "gate-1", Place: "glas-a"}}})
@@ -52,15 +52,15 @@
 	}
 }
 
-// Replicas go down one after the other under an innocent item. It is not refused
-// for good, since its job waits for it; but each death doubles the time until it
-// is tried again, so that a harmful one takes few replicas down with it.
+// Replicas crash one after the other while running a harmless item. The item is never
+// refused for good, since its job waits for it, but each crash doubles the time until
+// it is retried, so that a harmful item crashes few replicas.
 func TestAnItemWhoseReplicasDieIsTriedEverMoreSeldom(t *testing.T) {
 	r := newRig(t, route.Config{}, 3)
 	r.arrive(item("notice-1"))
 	var waits []time.Duration
 	for range 4 {
-		r.die("notice-1")
+		r.killProcess("notice-1")
 		died, sent := r.now, r.sent["notice-1"]
 		for r.sent["notice-1"] == sent && r.now.Sub(died) < time.Minute {
 			r.pass(25 * time.Millisecond)
@@ -77,15 +77,15 @@
 	}
 }
 
-// A gate feeds one replica, to which a connection fails once. The item must go
-// there again when the replica is back: no other replica is this gate's to use,
-// and the item's lease keeps other gates from running it.
+// A gate owns one replica, and a connection to it fails once. The item must return to
+// this replica when it is back: the gate owns no other, and the item's lease keeps
+// other gates from running it.
 func TestAnItemGoesBackToTheOnlyReplicaThatItsGateFeeds(t *testing.T) {
 	r := newRig(t, route.Config{}, 1)
 	r.announceAt("r-far", "edin-b")
 	r.step(route.GatesChanged{Gates: []route.Gate{{ID: "gate-1", Place: "glas-a"}, {ID: "gate-2", Place: "edin-b"}}})
 	r.arrive(item("notice-1"))
-	first := r.on["notice-1"]
+	first := r.lastDispatch["notice-1"]
 	r.step(route.Failed{Attempt: first.Attempt, Cause: route.CauseNotSent})
 	r.step(route.Probed{Replica: first.Target.Replica, Alive: true})
 	r.pass(2 * time.Second)
--- a/internal/route/trace_test.go
+++ b/internal/route/trace_test.go
@@ -12,8 +12,8 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// trace is a recorded run with stated outcomes. It must hold as it stands, and
-// at least one outcome must fail when any of its guards is switched off.
+// trace is a recorded run with expected outcomes. All of them must hold, and at least
+// one must fail when any of its guards is disabled.
 type trace struct {
 	Story  string   `json:"story"`
 	Guards []string `json:"guards"`
@@ -21,23 +21,23 @@
 	// Replicas of place glas-a, each with Slots slots.
 	Replicas int `json:"replicas"`
 	Slots    int `json:"slots"`
-	// Crash is the fingerprint of a request that kills each replica that runs
-	// it; 0: none.
+	// Crash is the fingerprint of a request that crashes each replica that runs it; 0:
+	// none.
 	Crash upstream.Fingerprint `json:"crash"`
-	Paced bool                 `json:"paced"` // each attempt gets a token each tick
+	Paced bool                 `json:"paced"` // each attempt receives a token at each tick
 	Hedge int                  `json:"hedge_ms"`
 	Steps []step               `json:"steps"`
 }
 
-// step is an input to a gate, or an outcome that must hold at that point.
-// Attempts are named by request and number, such as q1#2; replicas by ID or
-// by an attempt that runs on them.
+// step is an input to a gate, or an outcome that must hold at that point. Attempts are
+// named by request and number, such as q1#2; replicas by ID or by an attempt that runs
+// on them.
 type step struct {
 	At       int               `json:"at"` // ms from the start
 	Gate     string            `json:"gate"`
 	Do       string            `json:"do"`
 	ID       string            `json:"id"`
-	Count    int               `json:"count"` // as many requests as this, named ID-0 and so on
+	Count    int               `json:"count"` // number of requests, named ID-0 and so on
 	Batch    string            `json:"batch"` // the policy; empty: an online request
 	Once     bool              `json:"once"`  // not repeatable
 	Print    int               `json:"print"`
@@ -49,17 +49,17 @@
 	Sequence int               `json:"sequence"`
 	Running  int               `json:"running"`
 	Gates    []string          `json:"gates"`
-	Want     map[string]string `json:"want"`    // request: on a replica's ID, done, waiting or a reason
+	Want     map[string]string `json:"want"`    // request: the ID of its replica, running, done, waiting or a reason
 	Cancels  map[string]int    `json:"cancels"` // cause: count so far
-	Lost     *int              `json:"lost"`    // replicas crashed so far
+	Lost     *int              `json:"lost"`    // maximum number of replicas crashed so far
 	MaxLoad  int               `json:"max_load"`
-	Apart    []string          `json:"apart"` // attempts on replicas that all differ
-	Not      []string          `json:"not"`   // replicas that got no attempt since the last step with At before Since
+	Apart    []string          `json:"apart"` // attempts that must be on different replicas
+	Not      []string          `json:"not"`   // replicas that got no attempt after Since
 	Since    int               `json:"since"`
 }
 
 func replay(tr trace, guards route.Guards) []string {
-	b := newBench(tr, guards)
+	b := newReplayer(tr, guards)
 	for _, st := range tr.Steps {
 		b.run(st)
 	}
