--- a/internal/route/usage.go
+++ b/internal/route/usage.go
@@ -7,49 +7,50 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// usage is what another gate has on a replica that this gate feeds.
-type usage struct {
+// loadReport is another gate's load on a replica that this gate owns.
+type loadReport struct {
 	gate          string
 	online, batch int
-	at            time.Time // when it said so
+	at            time.Time // when it was received
 }
 
-// Times of the word between gates. It is sent at each change, and again for as
-// long as there is something to tell, so that one lost message does no harm.
+// Timing of load reports between gates. A report is sent at each change, and repeated
+// while the gate has attempts on the replica, so that a lost message has no lasting
+// effect.
 const (
-	usageRefresh  = 5 * time.Second
-	usageLifetime = 16 * time.Second
+	reportRefresh  = 5 * time.Second
+	reportLifetime = 16 * time.Second
 )
 
-// lastWordLifetime is how long the word of a gate counts that is not listed any more:
-// about an answer's time. One that drains serves on and says more at each change; of
-// one that was killed nothing runs any more.
-const lastWordLifetime = time.Second
+// departedReportLifetime is how long a report of a gate counts after the gate is no
+// longer listed: about the time of an answer. A draining gate still serves requests and
+// reports each change; a killed gate runs nothing.
+const departedReportLifetime = time.Second
 
-// isVoid says whether a word counts no more, since its gate is gone.
-func (s *Shard) isVoid(u usage) bool {
-	return !s.isLive(u.gate) && s.at.Sub(u.at) >= lastWordLifetime
+// isObsolete reports whether a report no longer counts because its gate is gone.
+func (s *Shard) isObsolete(u loadReport) bool {
+	return !s.isLiveGate(u.gate) && s.now.Sub(u.at) >= departedReportLifetime
 }
 
-// tellFeeder tells the gate that feeds a replica how many requests this gate
-// has there. The feeding gate then stops batch, if the slots do not suffice:
-// an online request must not wait for one of its items to end.
-func (s *Shard) tellFeeder(r *replica) {
-	if s.feeds(r) || s.config.Disabled.Yield {
+// reportLoad sends this gate's load on a replica to the owner. The owner then preempts
+// batch work if the slots do not suffice: an online request must not wait for a batch
+// item to end.
+func (s *Shard) reportLoad(r *replica) {
+	if s.ownsReplica(r) || s.config.Disabled.Yield {
 		return
 	}
-	if r.told == r.online && r.toldBatch == r.batch && s.at.Sub(r.toldAt) < usageRefresh {
-		return // it knows
+	if r.reportedOnline == r.online && r.reportedBatch == r.batch && s.now.Sub(r.reportedAt) < reportRefresh {
+		return // the owner has this report
 	}
-	r.toldAt = s.at
-	r.told, r.toldBatch = r.online, r.batch
-	r.word++
-	s.emit(YieldTo{Gate: r.feeder, Replica: r.entry.Replica, Online: r.online, Batch: r.batch, Word: r.word})
+	r.reportedAt = s.now
+	r.reportedOnline, r.reportedBatch = r.online, r.batch
+	r.reportNumber++
+	s.emit(YieldTo{Gate: r.owner, Replica: r.entry.Replica, Online: r.online, Batch: r.batch, Word: r.reportNumber})
 }
 
-func (s *Shard) refreshUsage(r *replica) {
-	if len(r.attempts) > 0 && s.at.Sub(r.toldAt) >= usageRefresh {
-		s.tellFeeder(r)
+func (s *Shard) refreshReport(r *replica) {
+	if len(r.attempts) > 0 && s.now.Sub(r.reportedAt) >= reportRefresh {
+		s.reportLoad(r)
 	}
 }
 
@@ -58,47 +59,47 @@
 	if r == nil {
 		return
 	}
-	word := usage{gate: in.Gate, online: in.Online, batch: in.Batch, at: s.at}
-	i := slices.IndexFunc(r.usage, func(u usage) bool { return u.gate == in.Gate })
+	report := loadReport{gate: in.Gate, online: in.Online, batch: in.Batch, at: s.now}
+	i := slices.IndexFunc(r.loadReports, func(u loadReport) bool { return u.gate == in.Gate })
 	if i < 0 {
-		r.usage = append(r.usage, word)
+		r.loadReports = append(r.loadReports, report)
 	} else {
-		r.usage[i] = word
+		r.loadReports[i] = report
 	}
-	r.feedVersion = s.table.Bump()
-	s.noteKnown(r)
-	s.yieldSlots(r, in.Gate)
+	r.loadVersion = s.table.Bump()
+	s.updateKnownPeak(r)
+	s.freeSlots(r, in.Gate)
 	s.pump()
 }
 
 func (in Fed) apply(s *Shard) {
 	r := s.replica(in.Feeding.Replica)
-	if r == nil || s.feeds(r) {
+	if r == nil || s.ownsReplica(r) {
 		return
 	}
-	told := r.told
+	reported := r.reportedOnline
 	if in.Answers > 0 {
-		told = in.Told
+		reported = in.Told
 	}
-	r.fedAt = s.at
+	r.ownerReportAt = s.now
 	r.othersBatch = max(0, in.Feeding.Batch-r.batch)
-	r.othersOnline = max(0, in.Feeding.Online-told)
+	r.othersOnline = max(0, in.Feeding.Online-reported)
 	if in.Answers > 0 {
-		s.confirmed(r, in.Answers)
+		s.handleAcknowledgement(r, in.Answers)
 	}
 }
 
-// FedNow gives what this gate knows of a replica that it feeds.
+// OwnerLoad returns the known load of a replica that this gate owns.
 func (s *Shard) FedNow(id upstream.ReplicaID) upstream.Feeding {
 	r := s.replica(id)
 	if r == nil {
 		return upstream.Feeding{Replica: id}
 	}
-	return s.feeding(r)
+	return s.ownerLoad(r)
 }
 
-func (s *Shard) feeding(r *replica) upstream.Feeding {
-	online, batch := s.used(r)
+func (s *Shard) ownerLoad(r *replica) upstream.Feeding {
+	online, batch := s.sumLoadReports(r)
 	return upstream.Feeding{
 		Replica: r.entry.Replica,
 		Batch:   r.batch + batch,
@@ -106,8 +107,8 @@
 	}
 }
 
-// fedFresh says whether the feeding gate's word is recent. It comes with each
-// answer to a usage and with the digests.
-func (s *Shard) fedFresh(r *replica) bool {
-	return !r.fedAt.IsZero() && s.at.Sub(r.fedAt) < usageLifetime
+// isOwnerReportFresh reports whether the owner's report is recent. Reports arrive as
+// acknowledgements of load reports and with the digests.
+func (s *Shard) isOwnerReportFresh(r *replica) bool {
+	return !r.ownerReportAt.IsZero() && s.now.Sub(r.ownerReportAt) < reportLifetime
 }
