--- a/internal/route/admission.go
+++ b/internal/route/admission.go
@@ -26,19 +26,19 @@
 		s.count(ReasonDuplicateID)
 		return
 	}
-	req := &request{Request: in.Request, arrived: s.now, next: First, tokens: in.Request.Reached}
+	req := &request{Request: in.Request, arrived: s.now, nextKind: First, tokens: in.Request.Reached}
 	if err := s.admit(req); err != nil {
 		s.count(err.Reason)
 		s.emit(Refuse{ID: req.ID, Err: err})
 		return
 	}
 	s.requests[req.ID] = req
-	s.budget.offered()
+	s.budget.addOffered()
 	if req.Class == Online {
 		s.team(req.Team).inFlight++
 	}
 	s.enqueue(req)
-	s.pump()
+	s.startWaiting()
 }
 
 func (s *Shard) team(name string) *teamState {
@@ -156,18 +156,18 @@
 	req.aheadInQueue = slices.Index(queue.list, req)
 }
 
-// maxPumpMisses bounds the waiting requests for which one pass finds no replica.
-const maxPumpMisses = 8
+// maxStartMisses bounds the waiting requests for which one pass finds no replica.
+const maxStartMisses = 8
 
-// pump starts waiting requests, online before batch.
-func (s *Shard) pump() {
+// startWaiting starts waiting requests, online before batch.
+func (s *Shard) startWaiting() {
 	if s.onlineQueue.len() > 0 {
 		s.onlineQueue.markOverdue(s.now, func(*request) time.Duration { return s.firstTokenTime.mean })
-		s.onlineQueue.startReady(s.now, maxPumpMisses, s.startOnline)
+		s.onlineQueue.startReady(s.now, maxStartMisses, s.startOnline)
 	}
 	if s.batchQueue.len() > 0 {
 		s.batchQueue.markOverdue(s.now, s.remainingTime)
-		s.batchQueue.startReady(s.now, maxPumpMisses, s.startBatch)
+		s.batchQueue.startReady(s.now, maxStartMisses, s.startBatch)
 	}
 }
 
@@ -179,7 +179,7 @@
 		if !s.fits(req, r) {
 			return held
 		}
-		s.dispatch(req, r, req.next)
+		s.dispatch(req, r, req.nextKind)
 		return started
 	}
 	r := s.pick(req)
@@ -192,7 +192,7 @@
 		s.reserve(req, r)
 		return started
 	case r != nil:
-		s.dispatch(req, r, req.next)
+		s.dispatch(req, r, req.nextKind)
 		return started
 	case s.isSuspect(req):
 		return held
--- a/internal/route/attempt.go
+++ b/internal/route/attempt.go
@@ -19,7 +19,7 @@
 	a.queued = !s.hasSlot(r)
 	s.attempts[a.id] = a
 	s.recordCopyStart(req.Fingerprint, r)
-	req.live = append(req.live, a)
+	req.liveAttempts = append(req.liveAttempts, a)
 	req.tried++
 	r.attempts = append(r.attempts, a)
 	s.addLoad(r, req.Class, 1)
@@ -62,12 +62,12 @@
 	delete(s.attempts, a.id)
 	a.req.runTime += s.now.Sub(a.started)
 	s.recordCopyEnd(a.req.Fingerprint)
-	a.req.live = without(a.req.live, a)
-	a.replica.attempts = without(a.replica.attempts, a)
+	a.req.liveAttempts = removeAttempt(a.req.liveAttempts, a)
+	a.replica.attempts = removeAttempt(a.replica.attempts, a)
 	s.addLoad(a.replica, a.req.Class, -1)
 }
 
-func without(list []*attempt, a *attempt) []*attempt {
+func removeAttempt(list []*attempt, a *attempt) []*attempt {
 	for i, other := range list {
 		if other == a {
 			copy(list[i:], list[i+1:])
@@ -90,8 +90,8 @@
 
 // removeRequest cancels the attempts of a request and deletes its state.
 func (s *Shard) removeRequest(req *request, cause CancelCause) {
-	for len(req.live) > 0 {
-		s.cancel(req.live[0], cause)
+	for len(req.liveAttempts) > 0 {
+		s.cancel(req.liveAttempts[0], cause)
 	}
 	if req.awaitedReplica != nil {
 		req.awaitedReplica.abandonedPrints = append(req.awaitedReplica.abandonedPrints, req.Fingerprint)
@@ -108,7 +108,7 @@
 
 // refuse sends a request its final error.
 func (s *Shard) refuse(req *request, err *apierr.Error) {
-	if len(req.live) > 0 {
+	if len(req.liveAttempts) > 0 {
 		err = err.WithRan(apierr.RanUnknown)
 	}
 	s.removeRequest(req, CancelAbandoned)
@@ -119,7 +119,7 @@
 func (in Abandon) apply(s *Shard) {
 	if req := s.requests[in.ID]; req != nil {
 		s.removeRequest(req, CancelAbandoned)
-		s.pump()
+		s.startWaiting()
 	}
 }
 
@@ -149,7 +149,7 @@
 	if s.config.Disabled.Settle {
 		return
 	}
-	for _, other := range append([]*attempt(nil), winner.req.live...) {
+	for _, other := range append([]*attempt(nil), winner.req.liveAttempts...) {
 		if other != winner {
 			s.cancel(other, CancelHedgeLost)
 		}
@@ -174,7 +174,7 @@
 	}
 	s.recordCompletion(req.Fingerprint)
 	s.clearCrashes(req)
-	s.pump()
+	s.startWaiting()
 }
 
 func (s *Shard) clearCrashes(req *request) {
--- a/internal/route/batch.go
+++ b/internal/route/batch.go
@@ -14,7 +14,7 @@
 	}
 	for _, r := range s.replicas {
 		for _, a := range slices.Clone(r.attempts) {
-			if a.preemptible() {
+			if a.isPreemptible() {
 				s.refuse(a.req, drainingError(a.req))
 			}
 		}
@@ -31,14 +31,14 @@
 // Ownership may change briefly while gates join and leave.
 const unassignedLimit = time.Second
 
-// refuseUnassigned returns waiting batch items that this gate cannot start, so that
+// returnUnassigned returns waiting batch items that this gate cannot start, so that
 // another gate can lease them.
 //
 // A starting gate assumes that it owns every replica until it has received the list of
 // gates, and leases items for all of them; a joining gate takes over replicas from a
 // gate that holds items for them. Such items would wait here forever, and their job
 // would not finish although every replica is idle.
-func (s *Shard) refuseUnassigned() {
+func (s *Shard) returnUnassigned() {
 	if s.config.Disabled.Unfed {
 		return
 	}
@@ -138,7 +138,7 @@
 	}
 	switch {
 	case r != nil:
-		s.dispatch(req, r, req.next)
+		s.dispatch(req, r, req.nextKind)
 		return started
 	case s.isSuspect(req):
 		return held
@@ -151,7 +151,7 @@
 	if !s.ownsReplica(r) || s.freeBatchSlots(r, req.Policy)-s.reservedSlots(req, r) <= 0 || !s.mayServe(req, r) {
 		return held
 	}
-	s.dispatch(req, r, req.next)
+	s.dispatch(req, r, req.nextKind)
 	return started
 }
 
@@ -211,16 +211,16 @@
 	}
 }
 
-// preemptible reports whether an attempt may be preempted: only batch items that may be
+// isPreemptible reports whether an attempt may be preempted: only batch items that may be
 // repeated.
-func (a *attempt) preemptible() bool { return a.req.Class == Batch && a.req.Repeatable }
+func (a *attempt) isPreemptible() bool { return a.req.Class == Batch && a.req.Repeatable }
 
 // chooseVictim returns the batch attempt to preempt: first those whose policy keeps the
 // most slots free, then by the policy's victim rule.
 func (s *Shard) chooseVictim(r *replica) *attempt {
 	var worst *attempt
 	for _, a := range r.attempts {
-		if a.preemptible() && (worst == nil || s.isPreemptedBefore(a, worst)) {
+		if a.isPreemptible() && (worst == nil || s.isPreemptedBefore(a, worst)) {
 			worst = a
 		}
 	}
@@ -248,13 +248,13 @@
 	s.cancelFor(a, CancelPreempted, forWhom)
 	req.maybeRan = true
 	req.tried-- // a preemption does not count as a failed attempt
-	req.next = Resume
+	req.nextKind = Resume
 	s.enqueue(req)
 }
 
 func (s *Shard) preemptAll(r *replica) {
 	for _, a := range slices.Clone(r.attempts) {
-		if a.preemptible() {
+		if a.isPreemptible() {
 			s.preempt(a, "")
 		}
 	}
--- a/internal/route/bench_test.go
+++ b/internal/route/bench_test.go
@@ -33,7 +33,7 @@
 	return s
 }
 
-func eachSize(b *testing.B, run func(b *testing.B, s *route.Shard, replicas int)) {
+func benchEachSize(b *testing.B, run func(b *testing.B, s *route.Shard, replicas int)) {
 	for _, replicas := range benchSizes {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
 			s := benchShard(replicas)
@@ -59,7 +59,7 @@
 }
 
 func BenchmarkOnline(b *testing.B) {
-	eachSize(b, func(b *testing.B, s *route.Shard, _ int) {
+	benchEachSize(b, func(b *testing.B, s *route.Shard, _ int) {
 		for n := range b.N {
 			oneRequest(s, n, route.Request{Class: route.Online})
 		}
@@ -67,7 +67,7 @@
 }
 
 func BenchmarkOnlineWithAffinity(b *testing.B) {
-	eachSize(b, func(b *testing.B, s *route.Shard, _ int) {
+	benchEachSize(b, func(b *testing.B, s *route.Shard, _ int) {
 		for n := range b.N {
 			oneRequest(s, n, route.Request{Class: route.Online, Prefix: uint64(n%97 + 1)})
 		}
@@ -75,7 +75,7 @@
 }
 
 func BenchmarkBatch(b *testing.B) {
-	eachSize(b, func(b *testing.B, s *route.Shard, _ int) {
+	benchEachSize(b, func(b *testing.B, s *route.Shard, _ int) {
 		for n := range b.N {
 			oneRequest(s, n, route.Request{Class: route.Batch, Policy: route.ThroughputPolicy()})
 		}
@@ -93,7 +93,7 @@
 }
 
 func BenchmarkTick(b *testing.B) {
-	eachSize(b, func(b *testing.B, s *route.Shard, _ int) {
+	benchEachSize(b, func(b *testing.B, s *route.Shard, _ int) {
 		for range b.N {
 			s.Step(epoch, route.Tick{})
 		}
@@ -101,7 +101,7 @@
 }
 
 func BenchmarkAnnounce(b *testing.B) {
-	eachSize(b, func(b *testing.B, s *route.Shard, replicas int) {
+	benchEachSize(b, func(b *testing.B, s *route.Shard, replicas int) {
 		for n := range b.N {
 			s.Step(epoch, route.Announced{Announcement: announcementOf(n%replicas, n%benchSlots, uint64(n+2))})
 		}
@@ -115,14 +115,14 @@
 		b.Run(fmt.Sprintf("affinity=%t", affinity), func(b *testing.B) {
 			worst := 0.0
 			for n := range b.N {
-				worst += imbalance(affinity, uint64(n))
+				worst += measureImbalance(affinity, uint64(n))
 			}
 			b.ReportMetric(worst/float64(b.N), "max/mean")
 		})
 	}
 }
 
-func imbalance(affinity bool, seed uint64) float64 {
+func measureImbalance(affinity bool, seed uint64) float64 {
 	const replicas = 13
 	const requests = replicas * benchSlots * 6 / 10
 	rng := rand.New(rand.NewPCG(seed, 7))
--- a/internal/route/copies.go
+++ b/internal/route/copies.go
@@ -92,7 +92,7 @@
 	if c == nil || c.running == 0 || s.config.Disabled.Copies || s.now.Sub(c.completedAt) < completionLifetime {
 		return nil
 	}
-	if !s.takesWork(c.lastReplica) {
+	if !s.acceptsWork(c.lastReplica) {
 		return nil // leaving or frozen; isCopyAwaitingProbe covers a dead replica
 	}
 	return c.lastReplica
--- a/internal/route/failure.go
+++ b/internal/route/failure.go
@@ -16,7 +16,7 @@
 		return
 	}
 	s.handleFailure(a, in.Cause)
-	s.pump()
+	s.startWaiting()
 }
 
 // handleFailure ends an attempt that produced no answer, then retries or refuses its
@@ -24,7 +24,7 @@
 func (s *Shard) handleFailure(a *attempt, cause FailureCause) {
 	req, r := a.req, a.replica
 	s.endAttempt(a)
-	if cause.notRun() {
+	if cause.provesNotRun() {
 		req.tried--
 		req.declined++
 	} else {
@@ -32,12 +32,12 @@
 	}
 	req.avoidReplica(r.entry.Replica)
 	s.updateHealth(r, cause)
-	if cause == CauseSilent || cause == CauseUnanswered || (cause == CauseBroken && len(req.live) > 0) {
+	if cause == CauseSilent || cause == CauseUnanswered || (cause == CauseBroken && len(req.liveAttempts) > 0) {
 		// The request does not wait for the probe, but gets a crash record if the probe
 		// finds the process dead.
 		r.abandonedPrints = append(r.abandonedPrints, req.Fingerprint)
 	}
-	if len(req.live) > 0 {
+	if len(req.liveAttempts) > 0 {
 		return // a hedge still runs
 	}
 	if cause == CauseBroken && !s.config.Disabled.Poison {
@@ -98,7 +98,7 @@
 		return
 	}
 	s.count(ReasonRetryPrefix + apierr.Reason(cause))
-	req.next = Retry
+	req.nextKind = Retry
 	if req.Class == Batch {
 		req.notBefore = s.now.Add(s.config.BatchBackoff)
 	}
--- a/internal/route/feeder.go
+++ b/internal/route/feeder.go
@@ -46,7 +46,7 @@
 	s.gates = slices.Clone(in.Gates)
 	s.expectedGates = in.Expected
 	s.assignOwners()
-	s.pump()
+	s.startWaiting()
 }
 
 // assignOwners recomputes the owner of every replica.
--- a/internal/route/handover.go
+++ b/internal/route/handover.go
@@ -63,7 +63,7 @@
 		s.resumeRun(a, to, in)
 	case a.disconnected:
 		s.handleFailure(a, CauseBroken)
-		s.pump()
+		s.startWaiting()
 	case in.NoRoom && len(a.handoverOffers) < maxHandOvers && s.isIdle(a):
 		if next := s.chooseHandoverTarget(a); next != nil {
 			s.requestHandOver(a, next)
@@ -74,7 +74,7 @@
 // resumeRun continues a stopped run.
 func (s *Shard) resumeRun(a *attempt, to *replica, in HandedOver) {
 	req, target := a.req, a.replica
-	if in.Copied && s.takesWork(to) {
+	if in.Copied && s.acceptsWork(to) {
 		target = to
 	}
 	s.cancel(a, CancelStalled)
--- a/internal/route/hedge.go
+++ b/internal/route/hedge.go
@@ -21,7 +21,7 @@
 	for _, r := range s.replicas {
 		for _, a := range slices.Clone(r.attempts) {
 			if s.mayHedge(a, after) {
-				s.hedge(a.req, r)
+				s.startHedge(a.req, r)
 			}
 		}
 	}
@@ -30,11 +30,11 @@
 func (s *Shard) mayHedge(a *attempt, after time.Duration) bool {
 	req := a.req
 	return req.Class == Online && req.Repeatable && !req.delivered && a.tokens == 0 &&
-		len(req.live) == 1 && req.tried < s.maxAttempts(req) && s.now.Sub(a.started) >= after &&
+		len(req.liveAttempts) == 1 && req.tried < s.maxAttempts(req) && s.now.Sub(a.started) >= after &&
 		s.crashes.Standing(s.now, req.Fingerprint) == upstream.StandingClear
 }
 
-func (s *Shard) hedge(req *request, slow *replica) {
+func (s *Shard) startHedge(req *request, slow *replica) {
 	req.avoid = append(req.avoid, slow.entry.Replica)
 	r := s.pick(req)
 	req.avoid = req.avoid[:len(req.avoid)-1]
--- a/internal/route/late.go
+++ b/internal/route/late.go
@@ -22,8 +22,8 @@
 			count++
 		}
 	}
-	for _, p := range s.reservations {
-		if p.req.overdue {
+	for _, res := range s.reservations {
+		if res.req.overdue {
 			count++
 		}
 	}
--- a/internal/route/messages.go
+++ b/internal/route/messages.go
@@ -102,8 +102,8 @@
 	CauseMisdirected FailureCause = "misdirected"
 )
 
-// notRun reports whether the cause proves that the replica did not run the request.
-func (c FailureCause) notRun() bool {
+// provesNotRun reports whether the cause proves that the replica did not run the request.
+func (c FailureCause) provesNotRun() bool {
 	return c == CauseNotSent || c == CauseDeclined || c == CauseMisdirected
 }
 
--- a/internal/route/meter.go
+++ b/internal/route/meter.go
@@ -62,7 +62,7 @@
 	return retryBudget{share: share, reserve: reserve, tokens: reserve * startShare}
 }
 
-func (b *retryBudget) offered() { b.tokens = min(b.tokens+b.share, b.reserve) }
+func (b *retryBudget) addOffered() { b.tokens = min(b.tokens+b.share, b.reserve) }
 
 // take spends a token if it leaves at least keep tokens, and reports whether it did.
 func (b *retryBudget) take(keep float64) bool {
--- a/internal/route/place.go
+++ b/internal/route/place.go
@@ -78,64 +78,64 @@
 
 // cancelReservation releases the slot of a request that is removed.
 func (s *Shard) cancelReservation(req *request) {
-	i := slices.IndexFunc(s.reservations, func(p reservation) bool { return p.req == req })
+	i := slices.IndexFunc(s.reservations, func(res reservation) bool { return res.req == req })
 	if i < 0 {
 		return
 	}
-	p := s.reservations[i]
-	s.release(p)
-	s.reportLoad(p.replica)
+	res := s.reservations[i]
+	s.release(res)
+	s.reportLoad(res.replica)
 }
 
 // release ends a reservation. It does not notify the owner, because the request is
 // usually sent to the replica in the same step.
-func (s *Shard) release(p reservation) {
-	s.reservations = slices.DeleteFunc(s.reservations, func(other reservation) bool { return other.req == p.req })
-	p.replica.online--
+func (s *Shard) release(res reservation) {
+	s.reservations = slices.DeleteFunc(s.reservations, func(other reservation) bool { return other.req == res.req })
+	res.replica.online--
 	s.onlineRunning--
 }
 
 // handleAcknowledgement handles the reservations on the replica that the acknowledged
 // load report, or one before it, included.
-func (s *Shard) handleAcknowledgement(r *replica, answered uint64) {
-	for _, p := range s.reservationsOn(r, answered) {
+func (s *Shard) handleAcknowledgement(r *replica, acknowledged uint64) {
+	for _, res := range s.reservationsOn(r, acknowledged) {
 		switch {
-		case !s.takesWork(r):
-			s.reserveElsewhere(p)
+		case !s.acceptsWork(r):
+			s.reserveElsewhere(res)
 		case s.onlineLoad(r) > s.slots(r):
 			s.count(ReasonSlotTaken)
-			s.reserveElsewhere(p)
+			s.reserveElsewhere(res)
 		default:
-			s.sendReserved(p)
+			s.sendReserved(res)
 		}
 	}
 }
 
-func (s *Shard) reservationsOn(r *replica, answered uint64) []reservation {
+func (s *Shard) reservationsOn(r *replica, acknowledged uint64) []reservation {
 	var found []reservation
-	for _, p := range s.reservations {
-		if p.replica == r && p.reportNumber <= answered {
-			found = append(found, p)
+	for _, res := range s.reservations {
+		if res.replica == r && res.reportNumber <= acknowledged {
+			found = append(found, res)
 		}
 	}
 	return found
 }
 
 func (s *Shard) hasReservation(r *replica) bool {
-	return slices.ContainsFunc(s.reservations, func(p reservation) bool { return p.replica == r })
+	return slices.ContainsFunc(s.reservations, func(res reservation) bool { return res.replica == r })
 }
 
-func (s *Shard) sendReserved(p reservation) {
-	s.release(p)
-	s.dispatch(p.req, p.replica, p.req.next)
+func (s *Shard) sendReserved(res reservation) {
+	s.release(res)
+	s.dispatch(res.req, res.replica, res.req.nextKind)
 }
 
 // reserveElsewhere chooses another replica by what is known now.
-func (s *Shard) reserveElsewhere(p reservation) {
-	s.release(p)
-	s.reportLoad(p.replica)
-	if s.startOnline(p.req) != started {
-		s.enqueue(p.req)
+func (s *Shard) reserveElsewhere(res reservation) {
+	s.release(res)
+	s.reportLoad(res.replica)
+	if s.startOnline(res.req) != started {
+		s.enqueue(res.req)
 	}
 }
 
@@ -143,17 +143,17 @@
 // has stopped or frozen does not delay the requests of other gates. For a while, no
 // request waits for that owner.
 func (s *Shard) checkReservations() {
-	for _, p := range slices.Clone(s.reservations) {
-		waited := s.now.Sub(p.since)
+	for _, res := range slices.Clone(s.reservations) {
+		waited := s.now.Sub(res.since)
 		switch {
-		case !s.takesWork(p.replica):
-			s.reserveElsewhere(p)
-		case s.ownsReplica(p.replica): // this gate has just become the owner
-			s.sendReserved(p)
+		case !s.acceptsWork(res.replica):
+			s.reserveElsewhere(res)
+		case s.ownsReplica(res.replica): // this gate has just become the owner
+			s.sendReserved(res)
 		case waited >= s.config.PlaceWait:
-			p.replica.ownerUnresponsiveUntil = s.now.Add(ownerUnresponsiveTime)
+			res.replica.ownerUnresponsiveUntil = s.now.Add(ownerUnresponsiveTime)
 			s.count(ReasonSlotUnconfirmed)
-			s.sendReserved(p)
+			s.sendReserved(res)
 		}
 	}
 }
--- a/internal/route/place_test.go
+++ b/internal/route/place_test.go
@@ -166,7 +166,7 @@
 			}})
 		}
 		for _, e := range c.engines {
-			c.run(e)
+			c.runEngine(e)
 		}
 		if c.now.Sub(tick) >= simTick {
 			tick = c.now
@@ -177,7 +177,7 @@
 	}
 }
 
-func (c *gateSim) run(e *simEngine) {
+func (c *gateSim) runEngine(e *simEngine) {
 	e.running = slices.DeleteFunc(e.running, func(r *simRun) bool {
 		if c.now.Before(r.ends) {
 			return false
--- a/internal/route/poison.go
+++ b/internal/route/poison.go
@@ -132,17 +132,17 @@
 		return false
 	}
 	for _, a := range r.attempts {
-		if s.isSuspect(a.req) && !a.pastTrial() {
+		if s.isSuspect(a.req) && !a.isPastTrial() {
 			return true
 		}
 	}
 	return false
 }
 
-// pastTrial reports whether the attempt has got further than the one that was running
+// isPastTrial reports whether the attempt has got further than the one that was running
 // when a replica died. For a request that arrived after the crash that point is
 // unknown, and the trial lasts until the whole answer has arrived.
-func (a *attempt) pastTrial() bool {
+func (a *attempt) isPastTrial() bool {
 	return a.req.replicaDied && a.tokens > a.req.tokensAtDeath
 }
 
@@ -185,7 +185,7 @@
 		}
 	}
 	s.applyCrashes(added)
-	s.pump()
+	s.startWaiting()
 }
 
 // applyCrashes applies new crash records to the current requests: condemned requests
@@ -220,9 +220,9 @@
 			found = append(found, req)
 		}
 	}
-	for _, p := range s.reservations {
-		if matches(p.req) {
-			found = append(found, p.req)
+	for _, res := range s.reservations {
+		if matches(res.req) {
+			found = append(found, res.req)
 		}
 	}
 	for _, r := range s.replicas {
@@ -251,7 +251,7 @@
 		req := a.req
 		req.maybeRan = true
 		s.cancel(a, CancelSuspect)
-		if len(req.live) == 0 {
+		if len(req.liveAttempts) == 0 {
 			s.retryOrRefuse(req, CauseSuspect)
 		}
 	}
--- a/internal/route/probe.go
+++ b/internal/route/probe.go
@@ -59,7 +59,7 @@
 	default:
 		s.handleUnansweredProbe(r)
 	}
-	s.pump()
+	s.startWaiting()
 }
 
 func (in Probed) evidence(restarted bool) Evidence {
--- a/internal/route/property_test.go
+++ b/internal/route/property_test.go
@@ -57,19 +57,19 @@
 	for _, o := range slices.Clone(m.shard.Step(m.now, in)) {
 		switch o := o.(type) {
 		case route.Dispatch:
-			m.dispatched(o)
+			m.recordDispatch(o)
 		case route.Cancel:
 			if o.Cause == route.CancelSilent || o.Cause == route.CancelDied {
 				m.live[o.Attempt].on.suspect = true
 			}
 			m.end(o.Attempt)
 		case route.Refuse:
-			m.answered(o.ID)
+			m.recordAnswer(o.ID)
 		}
 	}
 }
 
-func (m *model) dispatched(o route.Dispatch) {
+func (m *model) recordDispatch(o route.Dispatch) {
 	req, on := m.open[o.ID], m.replicas[o.Target.Replica]
 	if req == nil {
 		m.t.Fatalf("%s was sent after its final answer", o.ID)
@@ -108,7 +108,7 @@
 	}
 }
 
-func (m *model) answered(id string) {
+func (m *model) recordAnswer(id string) {
 	if m.open[id] == nil {
 		m.t.Fatalf("%s got a second final answer", id)
 	}
@@ -148,7 +148,7 @@
 	id := m.anyAttempt(t)
 	a := m.live[id]
 	m.end(id)
-	m.answered(a.req.ID)
+	m.recordAnswer(a.req.ID)
 	m.step(route.Finished{Attempt: id})
 }
 
--- a/internal/route/quiet.go
+++ b/internal/route/quiet.go
@@ -29,7 +29,7 @@
 	if s.config.StallMin <= 0 || r.health == suspect || r.probing || s.now.Before(r.probeAt) {
 		return
 	}
-	if s.now.Sub(r.lastContact) < s.stallAfter() {
+	if s.now.Sub(r.lastContact) < s.stallThreshold() {
 		return
 	}
 	streams, awaitsFirst := 0, false
@@ -55,10 +55,10 @@
 func (s *Shard) isIdle(a *attempt) bool {
 	idle := s.now.Sub(a.lastProgress)
 	if a.tokens > 0 {
-		return idle >= s.stallAfter()
+		return idle >= s.stallThreshold()
 	}
 	usual := s.usualFirstAnswer()
-	return usual > 0 && idle >= max(s.stallAfter(), time.Duration(idleFactor*float64(usual)))
+	return usual > 0 && idle >= max(s.stallThreshold(), time.Duration(idleFactor*float64(usual)))
 }
 
 // usualFirstAnswer returns the time within which nearly all first answers arrive: first
@@ -75,18 +75,18 @@
 // stopping them would help nobody.
 func (s *Shard) moveIdle(r *replica) {
 	for _, a := range slices.Clone(r.attempts) {
-		if s.attempts[a.id] != nil && s.isIdle(a) && s.mayMove(a) {
+		if s.attempts[a.id] != nil && s.isIdle(a) && s.mayRetry(a) {
 			s.emit(Cancel{ID: a.req.ID, Attempt: a.id, Cause: CancelSilent})
 			s.handleFailure(a, CauseSilent)
 		}
 	}
 }
 
-// mayMove reports whether the request would be retried if this attempt failed now.
-func (s *Shard) mayMove(a *attempt) bool {
+// mayRetry reports whether the request would be retried if this attempt failed now.
+func (s *Shard) mayRetry(a *attempt) bool {
 	req := a.req
-	mayGoOn := req.Repeatable && (!req.delivered || req.Resumable)
-	return mayGoOn && len(req.live) == 1 && (req.Patient || req.tried < s.maxAttempts(req))
+	mayResume := req.Repeatable && (!req.delivered || req.Resumable)
+	return mayResume && len(req.liveAttempts) == 1 && (req.Patient || req.tried < s.maxAttempts(req))
 }
 
 // reconnectShare is the share of its caller's time after which a request without a
--- a/internal/route/rebalance.go
+++ b/internal/route/rebalance.go
@@ -20,14 +20,14 @@
 	rebalanceReportAge = 2 * time.Second
 )
 
-// releaseForFreeSlots returns waiting batch items while replicas of other gates have
+// returnForRebalance returns waiting batch items while replicas of other gates have
 // free slots.
 //
 // A gate leases items for the slots that it has. When online work takes these slots, or
 // the replicas leave, the items would wait here and miss their targets while other
 // gates have idle slots and nothing to run. The keepers lease returned items to a gate
 // that has room.
-func (s *Shard) releaseForFreeSlots() {
+func (s *Shard) returnForRebalance() {
 	if s.draining || s.batchQueue.len() == 0 {
 		return
 	}
--- a/internal/route/replay_test.go
+++ b/internal/route/replay_test.go
@@ -107,7 +107,7 @@
 func (b *replayer) handleOutput(gate string, o route.Output) {
 	switch o := o.(type) {
 	case route.Dispatch:
-		b.dispatched(gate, o)
+		b.recordDispatch(gate, o)
 	case route.Cancel:
 		b.end(gate, o.Attempt)
 		b.cancels[string(o.Cause)]++
@@ -152,7 +152,7 @@
 	}
 }
 
-func (b *replayer) dispatched(gate string, o route.Dispatch) {
+func (b *replayer) recordDispatch(gate string, o route.Dispatch) {
 	b.tried[o.ID]++
 	r := &replayAttempt{
 		gate: gate, id: o.ID, attempt: o.Attempt, replica: o.Target.Replica,
--- a/internal/route/replica.go
+++ b/internal/route/replica.go
@@ -64,8 +64,8 @@
 	slowStartFrom   time.Time              // start of the slow start; zero when it is over
 }
 
-// takesWork reports whether new requests may be sent to the replica.
-func (s *Shard) takesWork(r *replica) bool {
+// acceptsWork reports whether new requests may be sent to the replica.
+func (s *Shard) acceptsWork(r *replica) bool {
 	leaving := r.entry.Leaving && !s.config.Disabled.Leaving
 	return r.entry.Ready && !leaving && r.health == healthy && !r.probing && !r.expired
 }
@@ -108,10 +108,10 @@
 
 // sumLoadReports returns the sum of the other gates' load reports on the replica.
 func (s *Shard) sumLoadReports(r *replica) (online, batch int) {
-	for _, u := range r.loadReports {
-		if s.now.Sub(u.at) < reportLifetime {
-			online += u.online
-			batch += u.batch
+	for _, report := range r.loadReports {
+		if s.now.Sub(report.at) < reportLifetime {
+			online += report.online
+			batch += report.batch
 		}
 	}
 	return online, batch
@@ -195,11 +195,11 @@
 	}
 	r := s.replica(id)
 	s.updateUnaccounted(r)
-	if change != upstream.ChangeLoad || r.candidate != s.takesWork(r) {
+	if change != upstream.ChangeLoad || r.candidate != s.acceptsWork(r) {
 		s.stale = true
 	}
 	s.freeSlots(r, "")
-	s.pump()
+	s.startWaiting()
 }
 
 func (s *Shard) join(id upstream.ReplicaID) {
@@ -271,7 +271,7 @@
 	s.remote = s.remote[:0]
 	s.owned = s.owned[:0]
 	for _, r := range s.replicas {
-		r.candidate = s.takesWork(r)
+		r.candidate = s.acceptsWork(r)
 		if !r.candidate {
 			continue
 		}
--- a/internal/route/shard.go
+++ b/internal/route/shard.go
@@ -55,7 +55,7 @@
 type request struct {
 	Request
 	arrived          time.Time
-	live             []*attempt
+	liveAttempts     []*attempt
 	tried            int  // replicas that may have run it
 	declined         int  // attempts that provably did not run
 	tokens           int  // reached by the attempts so far
@@ -68,7 +68,7 @@
 	queuedAt         time.Time     // when it was queued; zero: it is not queued
 	aheadInQueue     int           // requests ahead of it when it was queued
 	notBefore        time.Time
-	next             DispatchKind  // kind of the next dispatch
+	nextKind         DispatchKind  // kind of the next dispatch
 	replicaDied      bool          // a replica died while running it
 	tokensAtDeath    int           // tokens reached at that time
 	awaitedReplica   *replica      // the probe of this replica must end before the next attempt
@@ -155,9 +155,9 @@
 
 // LoadView is a shard's estimate of a replica's load.
 type LoadView struct {
-	Slots, Online, Batch      int // of this gate
+	Slots, Online, Batch      int // Online and Batch are of this gate
 	OthersOnline, OthersBatch int
-	OthersAge                 time.Duration // age of the owner's report; 0 if this gate is the owner
+	OthersAge                 time.Duration // age of the owner's report; 0 if there is none or this gate is the owner
 	Waiting                   int           // requests queued in this gate
 }
 
--- a/internal/route/stall.go
+++ b/internal/route/stall.go
@@ -24,10 +24,10 @@
 // still cached there. A stall is longer than nearly all normal pauses, so that few
 // answers are resumed unnecessarily.
 func (s *Shard) checkStalls(r *replica) {
-	if s.config.StallMin <= 0 || len(r.attempts) == 0 || !s.takesWork(r) {
+	if s.config.StallMin <= 0 || len(r.attempts) == 0 || !s.acceptsWork(r) {
 		return
 	}
-	after := s.stallAfter()
+	after := s.stallThreshold()
 	for _, a := range slices.Clone(r.attempts) {
 		switch {
 		case !s.isResumableStall(a, after):
@@ -39,7 +39,7 @@
 	}
 }
 
-func (s *Shard) stallAfter() time.Duration {
+func (s *Shard) stallThreshold() time.Duration {
 	usual := time.Duration(stallFactor * float64(s.tokenGap.upperBound()))
 	return max(s.config.StallMin, usual)
 }
@@ -48,15 +48,15 @@
 // that single ones do not raise it, but a slower engine does.
 func (s *Shard) observeGap(gap time.Duration) {
 	if s.config.StallMin > 0 {
-		s.tokenGap.observe(min(gap, s.stallAfter()))
+		s.tokenGap.observe(min(gap, s.stallThreshold()))
 	}
 }
 
 func (s *Shard) isResumableStall(a *attempt, after time.Duration) bool {
 	req := a.req
-	mayGoOn := req.Class == Online && req.delivered && (req.Resumable || req.Movable) && a.replica.entry.CanResume &&
-		a.tokens > 0 && len(req.live) == 1 && req.stalls < maxStallResumes
-	return mayGoOn && s.now.Sub(a.lastProgress) >= after &&
+	mayResume := req.Class == Online && req.delivered && (req.Resumable || req.Movable) && a.replica.entry.CanResume &&
+		a.tokens > 0 && len(req.liveAttempts) == 1 && req.stalls < maxStallResumes
+	return mayResume && s.now.Sub(a.lastProgress) >= after &&
 		s.crashes.Standing(s.now, req.Fingerprint) == upstream.StandingClear && s.othersProgress(a, after)
 }
 
--- a/internal/route/tick.go
+++ b/internal/route/tick.go
@@ -23,12 +23,12 @@
 	s.checkReservations()
 	s.checkWaiting()
 	s.refuseLongWaits()
-	s.refuseUnassigned()
-	s.releaseForFreeSlots()
+	s.returnUnassigned()
+	s.returnForRebalance()
 	s.checkHedges()
 	s.crashes.Expire(s.now)
 	s.expireCopies()
-	s.pump()
+	s.startWaiting()
 }
 
 // checkSilence fails the attempts that have made no progress for too long.
--- a/internal/route/usage.go
+++ b/internal/route/usage.go
@@ -28,8 +28,8 @@
 const departedReportLifetime = time.Second
 
 // isObsolete reports whether a report no longer counts because its gate is gone.
-func (s *Shard) isObsolete(u loadReport) bool {
-	return !s.isLiveGate(u.gate) && s.now.Sub(u.at) >= departedReportLifetime
+func (s *Shard) isObsolete(report loadReport) bool {
+	return !s.isLiveGate(report.gate) && s.now.Sub(report.at) >= departedReportLifetime
 }
 
 // reportLoad sends this gate's load on a replica to the owner. The owner then preempts
@@ -60,7 +60,7 @@
 		return
 	}
 	report := loadReport{gate: in.Gate, online: in.Online, batch: in.Batch, at: s.now}
-	i := slices.IndexFunc(r.loadReports, func(u loadReport) bool { return u.gate == in.Gate })
+	i := slices.IndexFunc(r.loadReports, func(report loadReport) bool { return report.gate == in.Gate })
 	if i < 0 {
 		r.loadReports = append(r.loadReports, report)
 	} else {
@@ -69,7 +69,7 @@
 	r.loadVersion = s.table.Bump()
 	s.updateKnownPeak(r)
 	s.freeSlots(r, in.Gate)
-	s.pump()
+	s.startWaiting()
 }
 
 func (in Fed) apply(s *Shard) {
