--- a/internal/route/admission.go
+++ b/internal/route/admission.go
@@ -88,7 +88,7 @@
 	if req.Limits.Rate <= 0 {
 		return nil
 	}
-	if wait := team.bucket.take(s.now, req.Limits.Rate, req.Limits.Burst); wait > 0 {
+	if wait := team.bucket.spend(s.now, req.Limits.Rate, req.Limits.Burst); wait > 0 {
 		return apierr.New(apierr.Overloaded, ReasonTeamRate,
 			"send more slowly, or ask the operator for a higher rate",
 			"team %s is over its rate of %g requests a second", req.Team, req.Limits.Rate).
--- a/internal/route/copies.go
+++ b/internal/route/copies.go
@@ -18,10 +18,10 @@
 const completionLifetime = time.Minute
 
 // recordCopyStart counts a dispatch.
-func (s *Shard) recordCopyStart(print upstream.Fingerprint, on *replica) {
+func (s *Shard) recordCopyStart(print upstream.Fingerprint, r *replica) {
 	c := s.copiesOf(print)
 	c.running++
-	c.lastReplica = on
+	c.lastReplica = r
 }
 
 func (s *Shard) copiesOf(print upstream.Fingerprint) *copyState {
--- a/internal/route/failure.go
+++ b/internal/route/failure.go
@@ -132,7 +132,7 @@
 			"%d attempts failed, the last one with cause %s", req.tried+req.declined, cause).
 			WithRan(req.ran()).WithRetryAfter(time.Second)
 	}
-	if !s.budget.take(0) && !s.config.Disabled.Budget {
+	if !s.budget.spend(0) && !s.config.Disabled.Budget {
 		return apierr.New(apierr.Unavailable, ReasonRetryBudget,
 			"retry after the given time; many requests are failing",
 			"an attempt failed with cause %s and the retry budget is spent", cause).
--- a/internal/route/handover.go
+++ b/internal/route/handover.go
@@ -11,7 +11,7 @@
 // or on the same replica if the copy failed.
 func (s *Shard) handOver(a *attempt) {
 	to := s.chooseHandoverTarget(a)
-	if to == nil || !s.budget.take(hedgeReserve*s.config.RetryReserve*startShare) {
+	if to == nil || !s.budget.spend(hedgeReserve*s.config.RetryReserve*startShare) {
 		return
 	}
 	a.req.stalls++
--- a/internal/route/late_test.go
+++ b/internal/route/late_test.go
@@ -25,11 +25,11 @@
 // waited longer than d for a slot, and all.
 func (c *gateSim) countWaitedSince(since time.Time, d time.Duration) (waited, all int) {
 	for _, start := range c.starts {
-		if start.came.Before(since) {
+		if start.arrived.Before(since) {
 			continue
 		}
 		all++
-		if start.at.Sub(start.came) > d {
+		if start.started.Sub(start.arrived) > d {
 			waited++
 		}
 	}
--- a/internal/route/meter.go
+++ b/internal/route/meter.go
@@ -64,8 +64,8 @@
 
 func (b *retryBudget) addOffered() { b.tokens = min(b.tokens+b.share, b.reserve) }
 
-// take spends a token if it leaves at least keep tokens, and reports whether it did.
-func (b *retryBudget) take(keep float64) bool {
+// spend spends a token if it leaves at least keep tokens, and reports whether it did.
+func (b *retryBudget) spend(keep float64) bool {
 	if b.tokens < keep+1 {
 		return false
 	}
@@ -79,8 +79,8 @@
 	tokens float64
 }
 
-// take spends a token, or returns how long to wait for one.
-func (b *tokenBucket) take(now time.Time, rate float64, burst int) time.Duration {
+// spend spends a token, or returns how long to wait for one.
+func (b *tokenBucket) spend(now time.Time, rate float64, burst int) time.Duration {
 	limit := float64(max(burst, 1))
 	if b.last.IsZero() {
 		b.tokens = limit
--- a/internal/route/place_test.go
+++ b/internal/route/place_test.go
@@ -40,12 +40,12 @@
 type simRun struct {
 	gate    *simGate
 	attempt route.AttemptID
-	came    time.Time // arrival at its gate
+	arrived time.Time // arrival at its gate
 	ends    time.Time
 }
 
 // simStart records when a request arrived and when it got its slot.
-type simStart struct{ came, at time.Time }
+type simStart struct{ arrived, started time.Time }
 
 // message is delivered at a given time.
 type message struct {
@@ -117,7 +117,7 @@
 		case route.Dispatch:
 			e := c.engines[slices.IndexFunc(c.engines, func(e *simEngine) bool { return e.id == o.Target.Replica })]
 			g.dispatched[o.Attempt] = e
-			e.waiting = append(e.waiting, &simRun{gate: g, attempt: o.Attempt, came: arrivedAt(o.ID)})
+			e.waiting = append(e.waiting, &simRun{gate: g, attempt: o.Attempt, arrived: arrivedAt(o.ID)})
 		case route.YieldTo:
 			c.sendReport(g, o)
 		}
@@ -188,8 +188,8 @@
 	for len(e.waiting) > 0 && len(e.running) < simSlots {
 		first := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		c.waits = append(c.waits, c.now.Sub(first.came))
-		c.starts = append(c.starts, simStart{came: first.came, at: c.now})
+		c.waits = append(c.waits, c.now.Sub(first.arrived))
+		c.starts = append(c.starts, simStart{arrived: first.arrived, started: c.now})
 		first.ends = c.now.Add(shortAnswer + time.Duration(c.random.Int64N(int64(longAnswer-shortAnswer))))
 		e.running = append(e.running, first)
 		c.step(first.gate, route.Progress{Attempt: first.attempt, Tokens: 1, Delivered: true})
@@ -230,8 +230,8 @@
 					c.countWaitedOver(100*time.Millisecond), c.countWaitedOver(10*time.Millisecond), c.reportCount)
 			}
 			reserved, unreserved := played[40*time.Millisecond], played[0]
-			if late := reserved.countWaitedOver(100 * time.Millisecond); late*100 > len(reserved.waits) {
-				t.Errorf("%d of %d requests waited over 100 ms", late, len(reserved.waits))
+			if waited := reserved.countWaitedOver(100 * time.Millisecond); waited*100 > len(reserved.waits) {
+				t.Errorf("%d of %d requests waited over 100 ms", waited, len(reserved.waits))
 			}
 			if unreserved.countWaitedOver(100*time.Millisecond) < 3*reserved.countWaitedOver(100*time.Millisecond) {
 				t.Errorf("without reservations only %d of %d waited: the load does not exercise them", unreserved.countWaitedOver(100*time.Millisecond), len(unreserved.waits))
--- a/internal/route/poison.go
+++ b/internal/route/poison.go
@@ -147,12 +147,12 @@
 }
 
 // recordCrashes adds crash records for the requests that ran on a replica when it died;
-// orphans are the fingerprints of those that have been removed since.
-func (s *Shard) recordCrashes(r *replica, suspects []*request, orphans []upstream.Fingerprint) {
+// abandoned are the fingerprints of further ones that were removed or moved before.
+func (s *Shard) recordCrashes(r *replica, suspects []*request, abandoned []upstream.Fingerprint) {
 	if s.config.Disabled.Poison {
 		return
 	}
-	prints := slices.Clone(orphans)
+	prints := slices.Clone(abandoned)
 	for _, req := range suspects {
 		req.tokensAtDeath = req.tokens
 		req.replicaDied = true
--- a/internal/route/probe.go
+++ b/internal/route/probe.go
@@ -143,7 +143,7 @@
 // handleDeath records a crash for all requests that ran on a dead replica: those whose
 // connections broke and those whose attempts are still open.
 func (s *Shard) handleDeath(r *replica, evidence Evidence) {
-	orphans := r.abandonedPrints
+	abandoned := r.abandonedPrints
 	held := s.releaseAwaiting(r)
 	suspects := slices.Clone(held)
 	for _, a := range r.attempts {
@@ -154,7 +154,7 @@
 		s.count(ReasonReplicaDied)
 		s.emitState(r, StateDead, evidence)
 	}
-	s.recordCrashes(r, suspects, orphans)
+	s.recordCrashes(r, suspects, abandoned)
 	s.sendHeldErrors(held)
 	for _, a := range slices.Clone(r.attempts) {
 		if s.attempts[a.id] != nil {
--- a/internal/route/queue_test.go
+++ b/internal/route/queue_test.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// served counts the callers who arrived in time and were served within the target, and
-// the overdue ones who were served at all, by the prefix of their IDs.
-func (l *callerSim) served(target time.Duration) (inTime, overdue int) {
+// countServed counts the callers who arrived in time and were countServed within the target, and
+// the overdue ones who were countServed at all, by the prefix of their IDs.
+func (l *callerSim) countServed(target time.Duration) (inTime, overdue int) {
 	for id, wait := range l.started {
 		switch {
 		case strings.HasPrefix(id, "late"):
@@ -95,7 +95,7 @@
 		l.pass(50 * time.Millisecond) // 20 per second
 	}
 	l.pass(3 * time.Second)
-	inTime, overdue := l.served(target)
+	inTime, overdue := l.countServed(target)
 	if inTime < 38 {
 		t.Errorf("%d of 40 callers who arrived in time were served in time", inTime)
 	}
--- a/internal/route/stall.go
+++ b/internal/route/stall.go
@@ -80,7 +80,7 @@
 // resumeStalled resumes a stalled answer on the same replica. It does not count towards
 // the replicas that may run the request.
 func (s *Shard) resumeStalled(a *attempt) {
-	if !s.budget.take(hedgeReserve * s.config.RetryReserve * startShare) {
+	if !s.budget.spend(hedgeReserve * s.config.RetryReserve * startShare) {
 		return
 	}
 	req, r := a.req, a.replica
--- a/internal/route/tick.go
+++ b/internal/route/tick.go
@@ -59,8 +59,9 @@
 	}
 }
 
-// silenceCause returns CauseUnanswered if the request is only retried over another
-// connection, and CauseSilent if the replica was silent for the full timeout.
+// silenceCause returns CauseUnanswered for a missing first answer that may still arrive
+// within firstAnswerTimeout, but is retried over another connection, and CauseSilent
+// otherwise.
 func (s *Shard) silenceCause(a *attempt) FailureCause {
 	if a.tokens == 0 && s.now.Sub(a.lastProgress) < s.firstAnswerTimeout(a) {
 		return CauseUnanswered
@@ -75,8 +76,8 @@
 		return
 	}
 	after := s.idleProbeDelay()
-	isIdle := func(a *attempt) bool { return s.now.Sub(a.lastProgress) >= after }
-	if slices.ContainsFunc(r.attempts, isIdle) {
+	idleTooLong := func(a *attempt) bool { return s.now.Sub(a.lastProgress) >= after }
+	if slices.ContainsFunc(r.attempts, idleTooLong) {
 		r.probeDelay = after
 		s.probe(r)
 	}
