--- a/internal/route/property_test.go
+++ b/internal/route/property_test.go
@@ -14,15 +14,15 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// model drives one shard with inputs in any order and checks after each what
-// must always hold, whatever the replicas do.
+// model drives one shard with inputs in any order and checks the invariants after each
+// of them.
 type model struct {
 	t        *rapid.T
 	shard    *route.Shard
 	now      time.Time
 	sequence uint64
 	arrived  int
-	extra    int // retries and hedges of online requests
+	retries  int // retries and hedges of online requests
 	open     map[string]*modelRequest
 	live     map[route.AttemptID]*modelAttempt
 	replicas map[upstream.ReplicaID]*modelReplica
@@ -50,26 +50,26 @@
 	modelSlots    = 3
 	modelReplicas = 3
 	modelDeadline = 20 * time.Second
-	modelReserve  = 10 // of retries; a fifth of it at the start
+	modelReserve  = 10 // maximum saved retries; a fifth of it at the start
 )
 
 func (m *model) step(in route.Input) {
 	for _, o := range slices.Clone(m.shard.Step(m.now, in)) {
 		switch o := o.(type) {
 		case route.Dispatch:
-			m.dispatched(o)
+			m.recordDispatch(o)
 		case route.Cancel:
 			if o.Cause == route.CancelSilent || o.Cause == route.CancelDied {
 				m.live[o.Attempt].on.suspect = true
 			}
 			m.end(o.Attempt)
 		case route.Refuse:
-			m.answered(o.ID)
+			m.recordAnswer(o.ID)
 		}
 	}
 }
 
-func (m *model) dispatched(o route.Dispatch) {
+func (m *model) recordDispatch(o route.Dispatch) {
 	req, on := m.open[o.ID], m.replicas[o.Target.Replica]
 	if req == nil {
 		m.t.Fatalf("%s was sent after its final answer", o.ID)
@@ -85,7 +85,7 @@
 	if req.Class == route.Online {
 		on.online++
 		if o.Kind == route.Retry || o.Kind == route.Hedge {
-			m.extra++
+			m.retries++
 		}
 		return
 	}
@@ -108,7 +108,7 @@
 	}
 }
 
-func (m *model) answered(id string) {
+func (m *model) recordAnswer(id string) {
 	if m.open[id] == nil {
 		m.t.Fatalf("%s got a second final answer", id)
 	}
@@ -148,7 +148,7 @@
 	id := m.anyAttempt(t)
 	a := m.live[id]
 	m.end(id)
-	m.answered(a.req.ID)
+	m.recordAnswer(a.req.ID)
 	m.step(route.Finished{Attempt: id})
 }
 
@@ -193,11 +193,11 @@
 	m.step(route.Tick{})
 }
 
-// check holds after each input: retries stay within their share, and no
-// replica that runs batch that can be stopped has more than its slots.
+// check verifies after each input that retries stay within their share, and that no
+// replica with preemptible batch work has more requests than slots.
 func (m *model) check(t *rapid.T) {
-	if allowed := modelReserve/5 + m.arrived/10; m.extra > allowed {
-		t.Fatalf("%d retries of %d requests", m.extra, m.arrived)
+	if allowed := modelReserve/5 + m.arrived/10; m.retries > allowed {
+		t.Fatalf("%d retries of %d requests", m.retries, m.arrived)
 	}
 	stoppable := map[*modelReplica]bool{}
 	for _, a := range m.live {
@@ -207,15 +207,15 @@
 	}
 	for r := range stoppable {
 		if r.online+r.batch > modelSlots {
-			t.Fatalf("batch stands in the queue of %+v", *r)
+			t.Fatalf("batch work is queued at %+v", *r)
 		}
 	}
 }
 
-// TestAnyOrderOfEvents checks, for random orders of arrivals, answers, faults,
-// reports and time, that each request gets exactly one final answer, that
-// nothing goes to a leaving or suspect replica, that what may not be repeated
-// is not, and the limits of check.
+// TestAnyOrderOfEvents checks random orders of arrivals, answers, faults, announcements
+// and time: each request gets exactly one final answer, nothing is sent to a leaving or
+// suspect replica, a request that may not be repeated runs once, and the limits of
+// check hold.
 func TestAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{
@@ -238,12 +238,12 @@
 				m.step(route.Progress{Attempt: m.anyAttempt(t), Tokens: rapid.IntRange(0, 9).Draw(t, "tokens"), Delivered: rapid.Bool().Draw(t, "delivered")})
 			},
 		})
-		m.settle()
+		m.expectAllAnswered()
 	})
 }
 
-// settle lets time pass until every request must have its answer.
-func (m *model) settle() {
+// expectAllAnswered lets time pass until every request must have its answer.
+func (m *model) expectAllAnswered() {
 	for range 12 {
 		m.now = m.now.Add(modelDeadline)
 		m.step(route.Tick{})
