--- a/internal/daemon/sitegate.go
+++ b/internal/daemon/sitegate.go
@@ -94,13 +94,13 @@
 	g.router = proxy.New(proxy.Options{
 		Self: s.VM.Name, Place: s.VM.Place, Seed: maphash.String(maphash.MakeSeed(), s.VM.Name),
 		Route: route.Config{
-			EntryLifetime: unlistedForever,
-			MaxQueue:      s.Limits.MaxQueue,
-			TokenTimeout:  s.Timeouts.StreamIdle,
-			StallMin:      streamStall,
-			PlaceWait:     placeWait,
-			HedgeMin:      -1,              // a second run costs more than it saves
-			ProbeAfter:    unlistedForever, // a replica is asked when all that this gate has there is quiet
+			EntryLifetime:   unlistedForever,
+			MaxQueue:        s.Limits.MaxQueue,
+			TokenTimeout:    s.Timeouts.StreamIdle,
+			StallMin:        streamStall,
+			ReservationWait: placeWait,
+			HedgeMin:        -1,              // a second run costs more than it saves
+			ProbeAfter:      unlistedForever, // a replica is asked when all that this gate has there is quiet
 		},
 		Metrics:          site.metrics,
 		Log:              site.log.Logger,
--- a/internal/gate/proxy/batch.go
+++ b/internal/gate/proxy/batch.go
@@ -159,19 +159,19 @@
 	}
 	setDefault(&item.Policy, r.options.Policy)
 	return route.Request{
-		ID:          item.ID,
-		Team:        item.Team,
-		Class:       route.Batch,
-		Model:       item.Model,
-		Version:     item.Version,
-		UsefulUntil: item.TargetTime,
-		Takes:       item.ExpectedDuration,
-		Deadline:    item.Deadline,
-		Fingerprint: upstream.FingerprintOf(item.Service, item.Body),
-		Repeatable:  item.Repeatable,
-		Reached:     item.Reached,
-		Patient:     item.RetryUntilAnswered,
-		Policy:      item.Policy,
+		ID:                 item.ID,
+		Team:               item.Team,
+		Class:              route.Batch,
+		Model:              item.Model,
+		Version:            item.Version,
+		UsefulUntil:        item.TargetTime,
+		ExpectedRunTime:    item.ExpectedDuration,
+		Deadline:           item.Deadline,
+		Fingerprint:        upstream.FingerprintOf(item.Service, item.Body),
+		Repeatable:         item.Repeatable,
+		Reached:            item.Reached,
+		RetryUntilAnswered: item.RetryUntilAnswered,
+		Policy:             item.Policy,
 	}
 }
 
--- a/internal/gate/proxy/router.go
+++ b/internal/gate/proxy/router.go
@@ -160,20 +160,20 @@
 // ApplyOwnerLoad applies the batch load that a replica's owner gate reports.
 func (r *Router) ApplyOwnerLoad(service string, ownerLoad upstream.Feeding) {
 	if s := r.findShard(service); s != nil {
-		s.step(route.Fed{Feeding: ownerLoad})
+		s.step(route.OwnerReported{Load: ownerLoad})
 	}
 }
 
 // applyAcknowledgement applies an owner gate's acknowledgement of a load report.
 func (r *Router) applyAcknowledgement(report LoadReport, acknowledged upstream.Feeding) {
 	if s := r.findShard(report.Service); s != nil {
-		s.step(route.Fed{Feeding: acknowledged, Answers: report.Number, Told: report.Online})
+		s.step(route.OwnerReported{Load: acknowledged, Acknowledges: report.Number, ReportedOnline: report.Online})
 	}
 }
 
 // RecordCrashes applies crash records that another gate has broadcast.
 func (r *Router) RecordCrashes(service string, crashes []upstream.Strike) {
-	r.findOrAddShard(service).step(route.Struck{Strikes: crashes})
+	r.findOrAddShard(service).step(route.CrashesReported{Crashes: crashes})
 }
 
 // Cursor holds the version of each service up to which a peer has received changes.
--- a/internal/gate/proxy/shard.go
+++ b/internal/gate/proxy/shard.go
@@ -106,7 +106,7 @@
 			s.handOver(o)
 		case route.Cancel:
 			s.cancel(o)
-		case route.Believed:
+		case route.StateChanged:
 			s.logHealth(&o)
 		case route.Refuse:
 			s.refuse(o, ready)
@@ -114,12 +114,12 @@
 			go s.probe(o)
 		case route.Reset:
 			s.router.transports.reset(o.Replica)
-		case route.YieldTo:
+		case route.ReportLoad:
 			s.router.reports.enqueue(o.Gate, LoadReport{
-				Service: s.service, Gate: s.router.options.Self, Replica: o.Replica, Online: o.Online, Batch: o.Batch, Number: o.Word,
+				Service: s.service, Gate: s.router.options.Self, Replica: o.Replica, Online: o.Online, Batch: o.Batch, Number: o.ReportNumber,
 			})
-		case route.Spread:
-			ready = s.broadcastCrashes(o.Strikes)
+		case route.ReportCrashes:
+			ready = s.broadcastCrashes(o.Crashes)
 		case route.Count:
 			s.router.options.Metrics.Count(counterName(o.Reason))
 		}
@@ -179,14 +179,14 @@
 		telemetry.Upstream(string(o.Target.Replica)), zap.String("address", o.Target.Address), zap.Bool("resume", o.Resume),
 		zap.Int("slots", view.Slots), zap.Int("online", view.Online), zap.Int("batch", view.Batch),
 		zap.Int("others_online", view.OthersOnline), zap.Int("others_batch", view.OthersBatch), zap.Duration("others_age", view.OthersAge),
-		zap.Int("waiting", view.Waiting), zap.Duration("queued", o.Queued), zap.Int("behind", o.Behind), zap.Int("places", o.Places))
+		zap.Int("waiting", view.Waiting), zap.Duration("queued", o.Queued), zap.Int("behind", o.AheadInQueue), zap.Int("places", o.ReservationTries))
 }
 
 // logHealth logs a change of a replica's health state and the evidence for it.
-func (s *shard) logHealth(o *route.Believed) {
+func (s *shard) logHealth(o *route.StateChanged) {
 	s.log().Info("replica health changed", telemetry.Upstream(string(o.Replica)), zap.String("service", s.service),
-		zap.String("belief", string(o.Belief)), zap.String("evidence", string(o.Evidence)), zap.Int("failures", o.Failures),
-		zap.Int("attempts", o.Attempts), zap.Duration("quiet", o.Quiet), zap.Bool("slowly", o.Slowly))
+		zap.String("belief", string(o.State)), zap.String("evidence", string(o.Evidence)), zap.Int("failures", o.Failures),
+		zap.Int("attempts", o.Attempts), zap.Duration("quiet", o.Idle), zap.Bool("slowly", o.SlowStart))
 }
 
 func (s *shard) refuse(o route.Refuse, ready chan struct{}) {
@@ -233,10 +233,10 @@
 		s.step(route.Reported{Digest: l})
 	}
 	for _, f := range d.Feeding {
-		s.step(route.Fed{Feeding: f})
+		s.step(route.OwnerReported{Load: f})
 	}
 	if len(d.Strikes) > 0 {
-		s.step(route.Struck{Strikes: d.Strikes})
+		s.step(route.CrashesReported{Crashes: d.Strikes})
 	}
 }
 
@@ -251,7 +251,7 @@
 			Suspect:      v.Suspect,
 			Online:       v.Online,
 			Batch:        v.Batch,
-			OwnerGate:    v.Feeder,
+			OwnerGate:    v.Owner,
 		})
 	}
 	return list
--- a/internal/gate/proxy/usage.go
+++ b/internal/gate/proxy/usage.go
@@ -37,10 +37,10 @@
 	if s == nil {
 		return upstream.Feeding{Replica: u.Replica}
 	}
-	s.step(route.YieldAsked{Gate: u.Gate, Replica: u.Replica, Online: u.Online, Batch: u.Batch})
+	s.step(route.LoadReported{Gate: u.Gate, Replica: u.Replica, Online: u.Online, Batch: u.Batch})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.routing.FedNow(u.Replica)
+	return s.routing.OwnerLoad(u.Replica)
 }
 
 // SendReports sends load reports to another gate's Router.ApplyLoadReports and
--- a/internal/gate/proxy/weigh_test.go
+++ b/internal/gate/proxy/weigh_test.go
@@ -307,7 +307,7 @@
 		b.ReportMetric(quantile(f.yields, 0.99), "yield-p99-ms")
 	}
 	b.ReportMetric(float64(f.counts["cancel_preempted"]), "preempted")
-	b.ReportMetric(float64(f.counts[string(route.ReasonBatchBehind)]), "queued")
+	b.ReportMetric(float64(f.counts[string(route.ReasonQueuedAtEngine)]), "queued")
 	b.ReportMetric(float64(refused), "refused")
 	b.ReportMetric(0, "ns/op")
 	for name, count := range f.counts {
--- a/internal/route/attempt.go
+++ b/internal/route/attempt.go
@@ -26,7 +26,7 @@
 	resume := req.tokens > 0 && r.entry.CanResume && (req.Resumable || memory != "")
 	s.emit(Dispatch{
 		ID: req.ID, Attempt: a.id, Kind: kind, Target: &r.entry.Announcement, Resume: resume, Memory: memory,
-		Queued: s.queueWait(req), Behind: req.aheadInQueue, Places: req.reservationTries,
+		Queued: s.queueWait(req), AheadInQueue: req.aheadInQueue, ReservationTries: req.reservationTries,
 	})
 	req.queuedAt, req.aheadInQueue, req.reservationTries = time.Time{}, 0, 0
 	if req.Class == Batch {
@@ -182,6 +182,6 @@
 		return
 	}
 	if cleared := s.crashes.Clear(req.Fingerprint); len(cleared) > 0 {
-		s.emit(Spread{Strikes: cleared})
+		s.emit(ReportCrashes{Crashes: cleared})
 	}
 }
--- a/internal/route/batch.go
+++ b/internal/route/batch.go
@@ -115,10 +115,10 @@
 // by the share of the mean work that it has already done.
 func (s *Shard) remainingTime(req *request) time.Duration {
 	if s.itemRunTime.mean == 0 {
-		return req.Takes
+		return req.ExpectedRunTime
 	}
 	left := 1 - float64(req.runTime)/float64(s.itemRunTime.mean)
-	return time.Duration(max(0, left) * float64(req.Takes))
+	return time.Duration(max(0, left) * float64(req.ExpectedRunTime))
 }
 
 func (s *Shard) startBatch(req *request) startResult {
@@ -186,7 +186,7 @@
 		return
 	}
 	a.queued = true
-	s.count(ReasonBatchBehind)
+	s.count(ReasonQueuedAtEngine)
 	if s.config.Disabled.Preempt || s.now.Sub(a.replica.preemptedAt) < preemptionTime {
 		return
 	}
--- a/internal/route/belief.go
+++ b/internal/route/belief.go
@@ -26,12 +26,12 @@
 
 // emitState reports that the gate's conclusion about a replica has changed.
 func (s *Shard) emitState(r *replica, state ReplicaState, evidence Evidence) {
-	change := Believed{
-		Replica: r.entry.Replica, Belief: state, Evidence: evidence, Failures: r.failures,
-		Attempts: len(r.attempts), Slowly: state == StateReturned && !r.slowStartFrom.IsZero(),
+	change := StateChanged{
+		Replica: r.entry.Replica, State: state, Evidence: evidence, Failures: r.failures,
+		Attempts: len(r.attempts), SlowStart: state == StateReturned && !r.slowStartFrom.IsZero(),
 	}
 	if !r.lastContact.IsZero() {
-		change.Quiet = s.now.Sub(r.lastContact)
+		change.Idle = s.now.Sub(r.lastContact)
 	}
 	s.emit(change)
 }
--- a/internal/route/belief_test.go
+++ b/internal/route/belief_test.go
@@ -10,13 +10,13 @@
 
 // Guards against a gate that stops using a replica without explanation: the state
 // changes must carry the cause, the number of failures and the time without progress.
-func TestBeliefsAreTold(t *testing.T) {
+func TestStateChangesAreReported(t *testing.T) {
 	r := newRig(t, route.Config{HedgeMin: -1}, 1)
-	var changes []route.Believed
+	var changes []route.StateChanged
 	step := func(in route.Input) {
 		for _, o := range r.shard.Step(r.now, in) {
 			switch o := o.(type) {
-			case route.Believed:
+			case route.StateChanged:
 				changes = append(changes, o)
 			case route.Dispatch:
 				r.lastDispatch[o.ID] = o
@@ -32,10 +32,10 @@
 		Service: "wordroom", Kind: upstream.KindEngine, Replica: "r0", Incarnation: 2, Sequence: 9,
 		Address: "10.0.0.1:80", Place: "glas-a", Load: upstream.Load{Slots: 2, Ready: true},
 	}})
-	want := []route.Believed{
-		{Replica: "r0", Belief: route.StateSuspect, Evidence: route.Evidence(route.CauseBroken), Failures: 1, Quiet: 300 * time.Millisecond},
-		{Replica: "r0", Belief: route.StateDead, Evidence: route.EvidenceRefused, Failures: 1, Quiet: 300 * time.Millisecond},
-		{Replica: "r0", Belief: route.StateReturned, Evidence: route.EvidenceAnnounced, Quiet: 300 * time.Millisecond, Slowly: true},
+	want := []route.StateChanged{
+		{Replica: "r0", State: route.StateSuspect, Evidence: route.Evidence(route.CauseBroken), Failures: 1, Idle: 300 * time.Millisecond},
+		{Replica: "r0", State: route.StateDead, Evidence: route.EvidenceRefused, Failures: 1, Idle: 300 * time.Millisecond},
+		{Replica: "r0", State: route.StateReturned, Evidence: route.EvidenceAnnounced, Idle: 300 * time.Millisecond, SlowStart: true},
 	}
 	if len(changes) != len(want) {
 		t.Fatalf("state changes %+v", changes)
@@ -49,7 +49,7 @@
 
 // Guards against a preempted item whose cancellation does not show which request it
 // made room for.
-func TestAPreemptionNamesTheRequestItIsFor(t *testing.T) {
+func TestPreemptionReportsTheRequestItMakesRoomFor(t *testing.T) {
 	r := newRig(t, route.Config{HedgeMin: -1}, 1)
 	r.step(route.GatesChanged{Gates: []route.Gate{{ID: "gate-1", Place: "glas-a"}}})
 	for _, id := range []string{"item-1", "item-2"} {
--- a/internal/route/config.go
+++ b/internal/route/config.go
@@ -18,28 +18,28 @@
 	CrashLifetime time.Duration // how long a crash record is kept
 	ReportLag     time.Duration // the longest lag of a replica's own load announcement
 
-	MaxQueue       int           // online requests queued in the gate
-	OutageWait     time.Duration // how long a request waits while no replica can take it
-	Overcommit     float64       // online requests beyond the slots, as a share of the slots
-	SpillAt        float64       // load in the gate's own place above which other places are considered
-	SpillPenalty   float64       // how much lower the load of another place must be
-	AffinityBound  float64       // maximum load of the preferred replica above that of the sampled one
-	AffinityTries  int           // replicas in rendezvous order that affinity may use
-	MaxAttempts    int           // attempts of one request, including hedges
-	RetryShare     float64       // retries as a share of the offered requests
-	RetryReserve   float64       // maximum saved retries; a new shard starts with a fifth of it
-	BatchBackoff   time.Duration // delay before a failed batch item is retried
-	HedgeMin       time.Duration // the shortest wait before a hedge; negative disables hedging
-	FirstTimeout   time.Duration // an attempt without any answer for this long is silent
-	TokenTimeout   time.Duration // a stream without a token for this long is silent
-	ServiceTimeout time.Duration // timeout for the answer of a plain service
-	StallMin       time.Duration // a stream without an event for this long is resumed over another connection; 0: never
-	PlaceWait      time.Duration // how long a request waits for the owner to acknowledge its slot; 0: no reservations
-	VerdictTimeout time.Duration // how long a request whose connection broke waits for the probe of its replica
-	ProbeAfter     time.Duration // an engine is probed when one of its streams is idle for this long
-	ProbeMin       time.Duration // first delay between probes of a suspect replica
-	ProbeMax       time.Duration // longest delay between probes
-	SlowStart      time.Duration // time from recovery until a replica receives its full load
+	MaxQueue        int           // online requests queued in the gate
+	OutageWait      time.Duration // how long a request waits while no replica can take it
+	Overcommit      float64       // online requests beyond the slots, as a share of the slots
+	SpillAt         float64       // load in the gate's own place above which other places are considered
+	SpillPenalty    float64       // how much lower the load of another place must be
+	AffinityBound   float64       // maximum load of the preferred replica above that of the sampled one
+	AffinityTries   int           // replicas in rendezvous order that affinity may use
+	MaxAttempts     int           // attempts of one request, including hedges
+	RetryShare      float64       // retries as a share of the offered requests
+	RetryReserve    float64       // maximum saved retries; a new shard starts with a fifth of it
+	BatchBackoff    time.Duration // delay before a failed batch item is retried
+	HedgeMin        time.Duration // the shortest wait before a hedge; negative disables hedging
+	FirstTimeout    time.Duration // an attempt without any answer for this long is silent
+	TokenTimeout    time.Duration // a stream without a token for this long is silent
+	ServiceTimeout  time.Duration // timeout for the answer of a plain service
+	StallMin        time.Duration // a stream without an event for this long is resumed over another connection; 0: never
+	ReservationWait time.Duration // how long a request waits for the owner to acknowledge its slot; 0: no reservations
+	VerdictTimeout  time.Duration // how long a request whose connection broke waits for the probe of its replica
+	ProbeAfter      time.Duration // an engine is probed when one of its streams is idle for this long
+	ProbeMin        time.Duration // first delay between probes of a suspect replica
+	ProbeMax        time.Duration // longest delay between probes
+	SlowStart       time.Duration // time from recovery until a replica receives its full load
 
 	Disabled Guards // for tests that show the failure that each guard prevents
 }
--- a/internal/route/dial_test.go
+++ b/internal/route/dial_test.go
@@ -12,7 +12,7 @@
 // Guards against requests that wait for the maximum dial time, 0.7 s, twice what
 // callers accept, when a replica has lost power. Connections to all other replicas take
 // milliseconds, so the limit must be far lower.
-func TestDialLimitFollowsTheConnectionsThatCame(t *testing.T) {
+func TestDialLimitFollowsConnectionTimes(t *testing.T) {
 	l := route.NewDialLimits(longestDial)
 	if got := l.Limit("a"); got != longestDial {
 		t.Errorf("limit before the first connection: %s", got)
@@ -28,7 +28,7 @@
 // Guards against a limit that never adapts to a link that has become slow for good,
 // with connections that take 0.3 s: a limit that follows only connections established
 // in time would never let one succeed again.
-func TestDialLimitIsLearnedAgain(t *testing.T) {
+func TestDialLimitAdaptsToASlowLink(t *testing.T) {
 	const slow = 300 * time.Millisecond
 	l := route.NewDialLimits(longestDial)
 	for range 50 {
--- a/internal/route/failure.go
+++ b/internal/route/failure.go
@@ -123,7 +123,7 @@
 	if !s.now.Before(req.Deadline) {
 		return deadlineError(req)
 	}
-	if req.Patient {
+	if req.RetryUntilAnswered {
 		return nil
 	}
 	if req.tried >= s.maxAttempts(req) || req.declined >= maxDeclined {
--- a/internal/route/late_test.go
+++ b/internal/route/late_test.go
@@ -46,7 +46,7 @@
 			var waited, all, served [2]int
 			for i, disabled := range []bool{true, false} {
 				c := newGateSimWith(size.gates, size.engines, func(config *route.Config) {
-					config.PlaceWait = 40 * time.Millisecond
+					config.ReservationWait = 40 * time.Millisecond
 					config.Disabled.LateShare = disabled
 				})
 				began := c.now
--- a/internal/route/messages.go
+++ b/internal/route/messages.go
@@ -53,13 +53,13 @@
 	Reached int `json:"reached,omitempty"`
 	// RetryUntilAnswered marks a request that this gate alone holds until it has a
 	// result. Crashes of the replicas that ran it delay it, but never refuse it.
-	Patient bool `json:"patient,omitempty"`
+	RetryUntilAnswered bool `json:"patient,omitempty"`
 	// UsefulUntil is the target for the start of an online answer or the end of a batch
 	// item; zero: any time before the deadline.
 	UsefulUntil time.Time `json:"useful_until,omitzero"`
 	// ExpectedRunTime is how long similar batch items take from start to end, including
 	// the time during which online work has their slots; 0: unknown.
-	Takes time.Duration `json:"takes,omitzero"`
+	ExpectedRunTime time.Duration `json:"takes,omitzero"`
 }
 
 // Gate identifies a live gate for the choice of replica owners.
@@ -155,13 +155,13 @@
 	// OwnerReported carries the load that the owner of a replica knows of. Acknowledges
 	// is the number of this gate's load report that it answers, and ReportedOnline that
 	// report's online requests; Acknowledges is 0 if it answers none.
-	Fed struct {
-		Feeding upstream.Feeding
-		Answers uint64
-		Told    int
+	OwnerReported struct {
+		Load           upstream.Feeding
+		Acknowledges   uint64
+		ReportedOnline int
 	}
 	// CrashesReported carries crash records from other gates.
-	Struck struct{ Strikes []upstream.Strike }
+	CrashesReported struct{ Crashes []upstream.Strike }
 	// Cached carries a cache event of a replica.
 	Cached struct{ Event upstream.CacheEvent }
 	// Probed is the result of a Probe output. Refused means that the VM answered but no
@@ -174,7 +174,7 @@
 	}
 	// LoadReported carries the number of requests that another gate has on a replica
 	// that this gate owns.
-	YieldAsked struct {
+	LoadReported struct {
 		Gate          string
 		Replica       upstream.ReplicaID
 		Online, Batch int
@@ -236,8 +236,8 @@
 		// Queued is how long the request waited for a replica, AheadInQueue the number
 		// of requests ahead of it when it was queued, and ReservationTries the number
 		// of owners that were asked for a slot.
-		Queued         time.Duration
-		Behind, Places int
+		Queued                         time.Duration
+		AheadInQueue, ReservationTries int
 		// Memory names the kept memory that the engine resumes from; empty: run the
 		// request as received.
 		Memory string
@@ -260,13 +260,13 @@
 	// StateChanged reports that the gate's conclusion about a replica has changed.
 	// Failures counts consecutive failed attempts, Attempts those that still run, and
 	// Idle is the time since the last progress there, 0 if there was none.
-	Believed struct {
+	StateChanged struct {
 		Replica            upstream.ReplicaID
-		Belief             ReplicaState
+		State              ReplicaState
 		Evidence           Evidence
 		Failures, Attempts int
-		Quiet              time.Duration
-		Slowly             bool // with few requests at first
+		Idle               time.Duration
+		SlowStart          bool // with few requests at first
 	}
 	// Refuse sends the caller its final error.
 	Refuse struct {
@@ -284,26 +284,26 @@
 	Reset struct{ Replica upstream.ReplicaID }
 	// ReportLoad sends the number of this gate's requests on a replica to the replica's
 	// owner at once.
-	YieldTo struct {
+	ReportLoad struct {
 		Gate          string
 		Replica       upstream.ReplicaID
 		Online, Batch int
-		Word          uint64 // number of this gate's load report on the replica
+		ReportNumber  uint64 // number of this gate's load report on the replica
 	}
 	// ReportCrashes sends these crash records to all gates before the outputs that
 	// follow.
-	Spread struct{ Strikes []upstream.Strike }
+	ReportCrashes struct{ Crashes []upstream.Strike }
 	// Count increments the counter of the reason.
 	Count struct{ Reason apierr.Reason }
 )
 
-func (Dispatch) output() {}
-func (HandOver) output() {}
-func (Cancel) output()   {}
-func (Believed) output() {}
-func (Refuse) output()   {}
-func (Probe) output()    {}
-func (Reset) output()    {}
-func (YieldTo) output()  {}
-func (Spread) output()   {}
-func (Count) output()    {}
+func (Dispatch) output()      {}
+func (HandOver) output()      {}
+func (Cancel) output()        {}
+func (StateChanged) output()  {}
+func (Refuse) output()        {}
+func (Probe) output()         {}
+func (Reset) output()         {}
+func (ReportLoad) output()    {}
+func (ReportCrashes) output() {}
+func (Count) output()         {}
--- a/internal/route/place.go
+++ b/internal/route/place.go
@@ -49,7 +49,7 @@
 // needsReservation reports whether the request must wait for the replica's owner to
 // acknowledge a slot.
 func (s *Shard) needsReservation(req *request, r *replica) bool {
-	if s.config.PlaceWait <= 0 || s.ownsReplica(r) || req.reservationTries >= maxReservations || s.now.Before(r.ownerUnresponsiveUntil) {
+	if s.config.ReservationWait <= 0 || s.ownsReplica(r) || req.reservationTries >= maxReservations || s.now.Before(r.ownerUnresponsiveUntil) {
 		return false
 	}
 	fresh := !r.ownerReportAt.IsZero() && s.now.Sub(r.ownerReportAt) < freshReportAge
@@ -150,7 +150,7 @@
 			s.reserveElsewhere(res)
 		case s.ownsReplica(res.replica): // this gate has just become the owner
 			s.sendReserved(res)
-		case waited >= s.config.PlaceWait:
+		case waited >= s.config.ReservationWait:
 			res.replica.ownerUnresponsiveUntil = s.now.Add(ownerUnresponsiveTime)
 			s.count(ReasonSlotUnconfirmed)
 			s.sendReserved(res)
--- a/internal/route/place_test.go
+++ b/internal/route/place_test.go
@@ -62,7 +62,7 @@
 )
 
 func newGateSim(gates, engines int, wait time.Duration) *gateSim {
-	return newGateSimWith(gates, engines, func(config *route.Config) { config.PlaceWait = wait })
+	return newGateSimWith(gates, engines, func(config *route.Config) { config.ReservationWait = wait })
 }
 
 func newGateSimWith(gates, engines int, set func(*route.Config)) *gateSim {
@@ -96,7 +96,7 @@
 }
 
 // owner returns the owner of the only replica, on which all gates agree at first.
-func (c *gateSim) owner() *simGate { return c.gate(c.gates[0].shard.Replicas()[0].Feeder) }
+func (c *gateSim) owner() *simGate { return c.gate(c.gates[0].shard.Replicas()[0].Owner) }
 
 func (c *gateSim) others(than *simGate) []*simGate {
 	return slices.DeleteFunc(slices.Clone(c.gates), func(g *simGate) bool { return g == than })
@@ -118,20 +118,22 @@
 			e := c.engines[slices.IndexFunc(c.engines, func(e *simEngine) bool { return e.id == o.Target.Replica })]
 			g.dispatched[o.Attempt] = e
 			e.waiting = append(e.waiting, &simRun{gate: g, attempt: o.Attempt, arrived: arrivedAt(o.ID)})
-		case route.YieldTo:
+		case route.ReportLoad:
 			c.sendReport(g, o)
 		}
 	}
 }
 
 // sendReport delivers a gate's load report to the owner and the acknowledgement back.
-func (c *gateSim) sendReport(from *simGate, report route.YieldTo) {
+func (c *gateSim) sendReport(from *simGate, report route.ReportLoad) {
 	c.reportCount++
 	c.send(func() {
 		to := c.gate(report.Gate)
-		c.step(to, route.YieldAsked{Gate: from.id, Replica: report.Replica, Online: report.Online})
-		load := to.shard.FedNow(report.Replica)
-		c.send(func() { c.step(from, route.Fed{Feeding: load, Answers: report.Word, Told: report.Online}) })
+		c.step(to, route.LoadReported{Gate: from.id, Replica: report.Replica, Online: report.Online})
+		load := to.shard.OwnerLoad(report.Replica)
+		c.send(func() {
+			c.step(from, route.OwnerReported{Load: load, Acknowledges: report.ReportNumber, ReportedOnline: report.Online})
+		})
 	})
 }
 
@@ -242,7 +244,7 @@
 
 // Guards against requests that wait for an owner that has lost power. They wait for its
 // acknowledgement once, briefly, and then not for a while.
-func TestAFeederThatDoesNotAnswerHoldsUpNobody(t *testing.T) {
+func TestUnresponsiveOwnerDoesNotDelayRequests(t *testing.T) {
 	c := newGateSim(2, 1, 40*time.Millisecond)
 	other := c.others(c.owner())[0]
 	arrive := func(n int) string {
@@ -272,7 +274,7 @@
 
 // The caller of a request with a reservation leaves: the slot must be free again, and
 // the owner must be notified.
-func TestARequestThatIsGivenUpFreesItsPlace(t *testing.T) {
+func TestAbandonedRequestReleasesItsReservation(t *testing.T) {
 	c := newGateSim(2, 1, 40*time.Millisecond)
 	owner := c.owner()
 	other := c.others(owner)[0]
@@ -283,7 +285,7 @@
 	if len(other.dispatched) != 0 {
 		t.Error("dispatched after it was abandoned")
 	}
-	if load := owner.shard.FedNow("r0"); load.Online != 0 {
+	if load := owner.shard.OwnerLoad("r0"); load.Online != 0 {
 		t.Errorf("the owner counts %d requests", load.Online)
 	}
 }
@@ -309,20 +311,20 @@
 		}})
 	}
 	c.play(0, 10*time.Millisecond)
-	owner := c.gate(others[0].shard.Replicas()[0].Feeder)
+	owner := c.gate(others[0].shard.Replicas()[0].Owner)
 	if owner == leaving {
 		t.Fatal("the draining gate is still the owner")
 	}
-	if load := owner.shard.FedNow("r0"); load.Online != 5 {
+	if load := owner.shard.OwnerLoad("r0"); load.Online != 5 {
 		t.Errorf("the owner knows of %d of 5 requests", load.Online)
 	}
 	c.step(owner, route.GatesChanged{Gates: rest})
-	if load := owner.shard.FedNow("r0"); load.Online != 5 {
+	if load := owner.shard.OwnerLoad("r0"); load.Online != 5 {
 		t.Errorf("after the gates were listed again the owner knows of %d of 5 requests", load.Online)
 	}
 	c.now = c.now.Add(2 * time.Second)
 	c.step(owner, route.GatesChanged{Gates: rest})
-	if load := owner.shard.FedNow("r0"); load.Online != 0 {
+	if load := owner.shard.OwnerLoad("r0"); load.Online != 0 {
 		t.Errorf("%d requests of a departed gate still count", load.Online)
 	}
 }
@@ -335,7 +337,7 @@
 	rest := gateList(others)
 	survivor := newGateSim(3, 1, 0).gate(rest[0].ID) // of another simulation with the same names
 	c.step(survivor, route.GatesChanged{Gates: rest})
-	owner := c.gate(survivor.shard.Replicas()[0].Feeder)
+	owner := c.gate(survivor.shard.Replicas()[0].Owner)
 	waiting := others[0]
 	if waiting == owner {
 		waiting = others[1]
@@ -349,7 +351,7 @@
 	if len(waiting.dispatched) != 1 {
 		t.Error("not dispatched after the new owner's acknowledgement")
 	}
-	if load := owner.shard.FedNow("r0"); load.Online != 1 {
+	if load := owner.shard.OwnerLoad("r0"); load.Online != 1 {
 		t.Errorf("the new owner knows of %d requests", load.Online)
 	}
 }
--- a/internal/route/poison.go
+++ b/internal/route/poison.go
@@ -20,7 +20,7 @@
 // try it, on one replica at a time; after the second it is refused permanently, before
 // it reaches any replica.
 func (s *Shard) checkStanding(req *request) *apierr.Error {
-	if s.config.Disabled.Poison || req.Patient {
+	if s.config.Disabled.Poison || req.RetryUntilAnswered {
 		return nil
 	}
 	switch s.crashes.Standing(s.now, req.Fingerprint) {
@@ -107,7 +107,7 @@
 // run again. It may be the cause of the crashes, and each attempt may cost a replica.
 func (s *Shard) crashBackoffUntil(req *request) time.Time {
 	deaths, last := s.crashes.Deaths(s.now, req.Fingerprint)
-	if !req.Patient || deaths == 0 {
+	if !req.RetryUntilAnswered || deaths == 0 {
 		return time.Time{}
 	}
 	wait := minCrashBackoff
@@ -172,14 +172,14 @@
 		}
 	}
 	if len(added) > 0 {
-		s.emit(Spread{Strikes: added})
+		s.emit(ReportCrashes{Crashes: added})
 	}
 	s.applyCrashes(added)
 }
 
-func (in Struck) apply(s *Shard) {
+func (in CrashesReported) apply(s *Shard) {
 	var added []upstream.Strike
-	for _, crash := range in.Strikes {
+	for _, crash := range in.Crashes {
 		if s.crashes.Add(crash) {
 			added = append(added, crash)
 		}
@@ -205,7 +205,7 @@
 }
 
 func (s *Shard) refuseAll(print upstream.Fingerprint) {
-	matches := func(req *request) bool { return req.Fingerprint == print && !req.Patient }
+	matches := func(req *request) bool { return req.Fingerprint == print && !req.RetryUntilAnswered }
 	for _, req := range s.matchingRequests(matches) {
 		s.refuse(req, s.poisonError(req))
 	}
--- a/internal/route/queue_test.go
+++ b/internal/route/queue_test.go
@@ -82,7 +82,7 @@
 // Guards against a queue ordered by deadline alone: after an outage of a second the
 // waiting callers return together, already overdue, and take all slots; new callers
 // would then miss their targets until all overdue ones are served.
-func TestCallersInTimeDoNotWaitBehindLateOnes(t *testing.T) {
+func TestCallersInTimeDoNotWaitBehindOverdueOnes(t *testing.T) {
 	const target, timeout = 300 * time.Millisecond, 4 * time.Second
 	l := newCallerSim(t, 10) // 20 slots, 33 answers per second
 	for i := range 60 {
@@ -106,7 +106,7 @@
 
 // Under sustained overload, overdue requests must still get a share of the starts, and
 // those that will not start in time must be refused well before their deadline.
-func TestLateCallersAreServedOrRefusedSoon(t *testing.T) {
+func TestOverdueCallersAreServedOrRefusedEarly(t *testing.T) {
 	const target, timeout = 300 * time.Millisecond, 4 * time.Second
 	l := newCallerSim(t, 5) // 10 slots, 16 answers per second
 	overdue := 0
@@ -143,7 +143,7 @@
 	item := func(id string, due time.Duration) {
 		l.step(route.Arrive{Request: route.Request{
 			ID: id, Team: "t", Class: route.Batch, Repeatable: true, Fingerprint: upstream.FingerprintOf(id, nil),
-			Deadline: l.now.Add(time.Minute), UsefulUntil: l.now.Add(due), Takes: work, Policy: route.ThroughputPolicy(),
+			Deadline: l.now.Add(time.Minute), UsefulUntil: l.now.Add(due), ExpectedRunTime: work, Policy: route.ThroughputPolicy(),
 		}})
 	}
 	item("before", time.Minute)
@@ -171,7 +171,7 @@
 // A replica breaks off while it answers, and every other one is full. The request's
 // caller has part of the answer, so it must resume before requests that have not
 // started.
-func TestAnAnswerThatHasBegunGoesOnFirst(t *testing.T) {
+func TestPartiallyDeliveredAnswersResumeFirst(t *testing.T) {
 	l := newCallerSim(t, 2)
 	begun := route.Request{
 		ID: "begun", Team: "t", Class: route.Online, Repeatable: true, Resumable: true, Fingerprint: upstream.FingerprintOf("begun", nil),
@@ -199,7 +199,7 @@
 
 // Guards against requests of high priority that wait behind a burst of low priority,
 // and against requests of low priority that starve.
-func TestAStepIsServedByPriorityAndNobodyIsLeftOut(t *testing.T) {
+func TestBurstIsServedByPriorityWithoutStarvation(t *testing.T) {
 	l := newCallerSim(t, 4)
 	const each = 16
 	for i := range each {
--- a/internal/route/quiet.go
+++ b/internal/route/quiet.go
@@ -86,7 +86,7 @@
 func (s *Shard) mayRetry(a *attempt) bool {
 	req := a.req
 	mayResume := req.Repeatable && (!req.delivered || req.Resumable)
-	return mayResume && len(req.liveAttempts) == 1 && (req.Patient || req.tried < s.maxAttempts(req))
+	return mayResume && len(req.liveAttempts) == 1 && (req.RetryUntilAnswered || req.tried < s.maxAttempts(req))
 }
 
 // reconnectShare is the share of its caller's time after which a request without a
--- a/internal/route/quiet_test.go
+++ b/internal/route/quiet_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestReplicasThatAreNotAsked(t *testing.T) {
+func TestReplicasThatAreNotProbed(t *testing.T) {
 	t.Run("one of its streams makes progress", func(t *testing.T) {
 		a := newStreamRig(t, 1)
 		a.startRequest("x", false, 5*time.Second)
@@ -114,7 +114,7 @@
 
 // Answers take nearly as long as callers wait. Another attempt would have no time left
 // and would only double the work.
-func TestASlowServiceIsNotAskedTwice(t *testing.T) {
+func TestSlowServiceIsNotRetried(t *testing.T) {
 	a := newStreamRig(t, 2)
 	const timeout = 3 * time.Second
 	for _, id := range []string{"a", "b", "c", "d"} {
--- a/internal/route/reasons.go
+++ b/internal/route/reasons.go
@@ -40,7 +40,7 @@
 	ReasonReplicaDied     apierr.Reason = "replica_died"
 	ReasonReplicaReturned apierr.Reason = "replica_returned"
 	ReasonEntryExpired    apierr.Reason = "upstream_expired"
-	ReasonBatchBehind     apierr.Reason = "online_queued_at_engine"
+	ReasonQueuedAtEngine  apierr.Reason = "online_queued_at_engine"
 	// ReasonSlotTaken: according to the owner, other gates have taken the slot.
 	ReasonSlotTaken apierr.Reason = "place_taken"
 	// ReasonSlotUnconfirmed: the owner did not answer in time.
--- a/internal/route/rebalance_test.go
+++ b/internal/route/rebalance_test.go
@@ -25,7 +25,7 @@
 	}
 	var others []upstream.ReplicaID
 	for _, view := range r.shard.Replicas() {
-		if view.Feeder != "gate-1" {
+		if view.Owner != "gate-1" {
 			others = append(others, view.Entry.Replica)
 		}
 	}
@@ -38,7 +38,7 @@
 		}
 	}
 	r.arrive(route.Request{
-		ID: "item", Class: route.Batch, Repeatable: true, Patient: retryUntilAnswered, Fingerprint: 9, Policy: route.ThroughputPolicy(),
+		ID: "item", Class: route.Batch, Repeatable: true, RetryUntilAnswered: retryUntilAnswered, Fingerprint: 9, Policy: route.ThroughputPolicy(),
 	})
 	if r.sent["item"] != 0 {
 		t.Fatal("the item found a slot")
@@ -46,7 +46,7 @@
 	wait := func(d time.Duration) {
 		for _, id := range others {
 			load.Replica = id
-			r.step(route.Fed{Feeding: load})
+			r.step(route.OwnerReported{Load: load})
 		}
 		r.pass(d)
 	}
--- a/internal/route/replay_test.go
+++ b/internal/route/replay_test.go
@@ -115,12 +115,12 @@
 		b.state[o.ID] = string(o.Err.Reason)
 	case route.Probe:
 		b.answerProbe(gate, o.Replica)
-	case route.YieldTo:
-		b.deliver(o.Gate, route.YieldAsked{Gate: gate, Replica: o.Replica, Online: o.Online, Batch: o.Batch})
-	case route.Spread:
+	case route.ReportLoad:
+		b.deliver(o.Gate, route.LoadReported{Gate: gate, Replica: o.Replica, Online: o.Online, Batch: o.Batch})
+	case route.ReportCrashes:
 		for _, other := range b.trace.Gates {
 			if other != gate {
-				b.deliver(other, route.Struck(o))
+				b.deliver(other, route.CrashesReported(o))
 			}
 		}
 	}
--- a/internal/route/replica.go
+++ b/internal/route/replica.go
@@ -97,7 +97,7 @@
 	case s.ownsReplica(r):
 		online, batch = s.sumLoadReports(r)
 		return online + r.unaccounted, batch
-	case s.config.PlaceWait > 0 && !s.hasRecentReport(r):
+	case s.config.ReservationWait > 0 && !s.hasRecentReport(r):
 		return s.estimateOthersOnline(r), r.othersBatch
 	case s.isOwnerReportFresh(r):
 		return r.othersOnline, r.othersBatch
--- a/internal/route/shard.go
+++ b/internal/route/shard.go
@@ -187,7 +187,7 @@
 	Entry         *upstream.Entry // read only, until the next Step
 	Suspect       bool
 	Online, Batch int // this gate's requests on it
-	Feeder        string
+	Owner         string
 }
 
 // Replicas returns all replicas in order of their IDs.
@@ -197,7 +197,7 @@
 		if !r.expired {
 			views = append(views, ReplicaView{
 				Entry: r.entry, Suspect: r.health == suspect,
-				Online: r.online, Batch: r.batch, Feeder: r.owner,
+				Online: r.online, Batch: r.batch, Owner: r.owner,
 			})
 		}
 	}
--- a/internal/route/spare_test.go
+++ b/internal/route/spare_test.go
@@ -33,8 +33,8 @@
 	for i := range itemCount {
 		id := fmt.Sprint("item-", i)
 		item := route.Request{
-			ID: id, Class: route.Batch, Repeatable: true, Resumable: true, Patient: true, Fingerprint: upstream.FingerprintOf(id, nil),
-			Policy: route.ThroughputPolicy(), Takes: itemTime, Deadline: r.now.Add(time.Hour),
+			ID: id, Class: route.Batch, Repeatable: true, Resumable: true, RetryUntilAnswered: true, Fingerprint: upstream.FingerprintOf(id, nil),
+			Policy: route.ThroughputPolicy(), ExpectedRunTime: itemTime, Deadline: r.now.Add(time.Hour),
 		}
 		if due > 0 {
 			item.UsefulUntil = r.now.Add(due)
@@ -88,7 +88,7 @@
 // Guards against online requests that arrive one by one on an engine full of batch work
 // and each preempt an item that has just started: half of all runs lasted less than 0.2
 // s, and each opened a connection and processed its prompt again.
-func TestItemsWithTimeLeaveASlotToSpare(t *testing.T) {
+func TestItemsWithSlackLeaveReservedSlots(t *testing.T) {
 	const due = 3 * time.Minute
 	reserved, took := playOnlineOverBatch(t, due)
 	unreserved, without := playOnlineOverBatch(t, 0)
@@ -105,7 +105,7 @@
 }
 
 // Items that are short of time take every free slot, as if none were reserved.
-func TestItemsShortOfTimeSpareNothing(t *testing.T) {
+func TestItemsWithoutSlackUseEverySlot(t *testing.T) {
 	_, took := playOnlineOverBatch(t, 2*itemTime)
 	if _, without := playOnlineOverBatch(t, 0); took > without+itemTime {
 		t.Errorf("the last item took %s, %s without reserved slots", took, without)
--- a/internal/route/stall_test.go
+++ b/internal/route/stall_test.go
@@ -54,7 +54,7 @@
 // Guards against a stream that stalls for a quarter of a second: a packet on the
 // connection to the replica was lost, and TCP waits before it retransmits. The replica
 // works and answers others.
-func TestAStalledStreamGoesOnOverAnotherConnection(t *testing.T) {
+func TestStalledStreamResumesOverAnotherConnection(t *testing.T) {
 	s := newStreams(t, true, "stalled", "moving")
 	s.run(300*time.Millisecond, "stalled", "moving")
 	first := s.lastDispatch["stalled"]
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestStreamsThatAreLeftAlone(t *testing.T) {
+func TestStreamsThatAreNotResumed(t *testing.T) {
 	t.Run("no stream of the replica makes progress", func(t *testing.T) {
 		s := newStreams(t, true, "a", "b")
 		s.run(300*time.Millisecond, "a", "b")
@@ -108,7 +108,7 @@
 
 // An engine becomes slow: its events arrive 100 ms apart. Resuming each answer would
 // only add prompts to its work, so the limit must follow the pauses.
-func TestASlowEngineIsNoStall(t *testing.T) {
+func TestSlowEngineIsNotAStall(t *testing.T) {
 	s := newStreams(t, true, "a", "b")
 	s.run(300*time.Millisecond, "a", "b")
 	for range 30 {
--- a/internal/route/suspect_item_test.go
+++ b/internal/route/suspect_item_test.go
@@ -10,7 +10,7 @@
 
 func item(id string) route.Request {
 	return route.Request{
-		ID: id, Class: route.Batch, Repeatable: true, Resumable: true, Patient: true,
+		ID: id, Class: route.Batch, Repeatable: true, Resumable: true, RetryUntilAnswered: true,
 		Fingerprint: upstream.FingerprintOf("wordroom", []byte(id)), Policy: route.ThroughputPolicy(),
 	}
 }
@@ -22,7 +22,7 @@
 	r := newRig(t, route.Config{}, 2)
 	r.step(route.GatesChanged{Gates: []route.Gate{{ID: "gate-0", Place: "glas-a"}, {ID: "gate-1", Place: "glas-a"}}})
 	first := item("notice-1")
-	r.step(route.Struck{Strikes: []upstream.Strike{{
+	r.step(route.CrashesReported{Crashes: []upstream.Strike{{
 		Fingerprint: first.Fingerprint, Replica: "r9", Incarnation: 1, Gate: "gate-0", At: r.now,
 	}}})
 	r.arrive(first)
@@ -41,8 +41,8 @@
 	r := newRig(t, route.Config{}, 1)
 	r.step(route.GatesChanged{Gates: []route.Gate{{ID: "gate-0", Place: "edin-b"}, {ID: "gate-1", Place: "glas-a"}}})
 	first := item("notice-1")
-	first.Patient = false
-	r.step(route.Struck{Strikes: []upstream.Strike{{
+	first.RetryUntilAnswered = false
+	r.step(route.CrashesReported{Crashes: []upstream.Strike{{
 		Fingerprint: first.Fingerprint, Replica: "r9", Incarnation: 1, Gate: "gate-0", At: r.now,
 	}}})
 	r.arrive(first)
@@ -55,7 +55,7 @@
 // Replicas crash one after the other while running a harmless item. The item is never
 // refused for good, since its job waits for it, but each crash doubles the time until
 // it is retried, so that a harmful item crashes few replicas.
-func TestAnItemWhoseReplicasDieIsTriedEverMoreSeldom(t *testing.T) {
+func TestItemIsRetriedWithBackoffAfterCrashes(t *testing.T) {
 	r := newRig(t, route.Config{}, 3)
 	r.arrive(item("notice-1"))
 	var waits []time.Duration
@@ -80,7 +80,7 @@
 // A gate owns one replica, and a connection to it fails once. The item must return to
 // this replica when it is back: the gate owns no other, and the item's lease keeps
 // other gates from running it.
-func TestAnItemGoesBackToTheOnlyReplicaThatItsGateFeeds(t *testing.T) {
+func TestItemReturnsToTheOnlyReplicaItsGateOwns(t *testing.T) {
 	r := newRig(t, route.Config{}, 1)
 	r.announceAt("r-far", "edin-b")
 	r.step(route.GatesChanged{Gates: []route.Gate{{ID: "gate-1", Place: "glas-a"}, {ID: "gate-2", Place: "edin-b"}}})
--- a/internal/route/usage.go
+++ b/internal/route/usage.go
@@ -45,7 +45,7 @@
 	r.reportedAt = s.now
 	r.reportedOnline, r.reportedBatch = r.online, r.batch
 	r.reportNumber++
-	s.emit(YieldTo{Gate: r.owner, Replica: r.entry.Replica, Online: r.online, Batch: r.batch, Word: r.reportNumber})
+	s.emit(ReportLoad{Gate: r.owner, Replica: r.entry.Replica, Online: r.online, Batch: r.batch, ReportNumber: r.reportNumber})
 }
 
 func (s *Shard) refreshReport(r *replica) {
@@ -54,7 +54,7 @@
 	}
 }
 
-func (in YieldAsked) apply(s *Shard) {
+func (in LoadReported) apply(s *Shard) {
 	r := s.replica(in.Replica)
 	if r == nil {
 		return
@@ -72,25 +72,25 @@
 	s.startWaiting()
 }
 
-func (in Fed) apply(s *Shard) {
-	r := s.replica(in.Feeding.Replica)
+func (in OwnerReported) apply(s *Shard) {
+	r := s.replica(in.Load.Replica)
 	if r == nil || s.ownsReplica(r) {
 		return
 	}
 	reported := r.reportedOnline
-	if in.Answers > 0 {
-		reported = in.Told
+	if in.Acknowledges > 0 {
+		reported = in.ReportedOnline
 	}
 	r.ownerReportAt = s.now
-	r.othersBatch = max(0, in.Feeding.Batch-r.batch)
-	r.othersOnline = max(0, in.Feeding.Online-reported)
-	if in.Answers > 0 {
-		s.handleAcknowledgement(r, in.Answers)
+	r.othersBatch = max(0, in.Load.Batch-r.batch)
+	r.othersOnline = max(0, in.Load.Online-reported)
+	if in.Acknowledges > 0 {
+		s.handleAcknowledgement(r, in.Acknowledges)
 	}
 }
 
 // OwnerLoad returns the known load of a replica that this gate owns.
-func (s *Shard) FedNow(id upstream.ReplicaID) upstream.Feeding {
+func (s *Shard) OwnerLoad(id upstream.ReplicaID) upstream.Feeding {
 	r := s.replica(id)
 	if r == nil {
 		return upstream.Feeding{Replica: id}
