--- a/internal/upstream/announcement.go
+++ b/internal/upstream/announcement.go
@@ -1,9 +1,8 @@
-// Package upstream holds what a gate knows of the replicas behind it: what
-// they announced, how loaded they last said they were, which are leaving, what
-// their caches are believed to hold, and which requests were running when one
-// of them died.
+// Package upstream holds the state that a gate keeps about its upstream
+// replicas: their announcements, last reported load, shutdown state, likely
+// cache contents, and the requests that were running when a replica crashed.
 //
-// It is a decision package: the time is passed in, and nothing here does I/O.
+// The package does no I/O and reads no clock; callers pass the time in.
 package upstream
 
 import (
@@ -12,7 +11,7 @@
 	"slateway.example/slateway/internal/apierr"
 )
 
-// Kind says which protocol a replica speaks.
+// Kind is the protocol that a replica speaks.
 type Kind string
 
 // Kinds of upstream.
@@ -21,8 +20,8 @@
 	KindService Kind = "service" // a plain HTTP service
 )
 
-// ReplicaID names one replica for good; a restarted process keeps it and
-// raises its incarnation.
+// ReplicaID identifies a replica permanently. A restarted process keeps its ID
+// and increases its incarnation.
 type ReplicaID string
 
 // Model is one model that an engine has loaded.
@@ -31,14 +30,14 @@
 	Version string `json:"version,omitempty"`
 }
 
-// Announcement is what a replica says of itself, every few seconds and at each
-// change of state.
+// Announcement describes a replica. The replica sends one every few seconds and
+// at each change of state.
 type Announcement struct {
 	Service string    `json:"service"` // model family or plain service that requests name
 	Kind    Kind      `json:"kind"`
 	Replica ReplicaID `json:"replica"`
-	// Incarnation rises at each start of the replica's process, Sequence at
-	// each announcement of one incarnation.
+	// Incarnation increases at each start of the replica's process, Sequence
+	// with each announcement within one incarnation.
 	Incarnation uint64  `json:"incarnation"`
 	Sequence    uint64  `json:"sequence"`
 	Address     string  `json:"address"` // IP:port
@@ -46,51 +45,52 @@
 	VM          string  `json:"vm"`
 	Models      []Model `json:"models,omitempty"` // empty: any model of the service
 	Load
-	ChecksFencing bool `json:"checks_fencing"` // refuses orders with an old fencing number
-	CanResume     bool `json:"can_resume"`     // continues a stream at a given token
-	CanCancel     bool `json:"can_cancel"`     // stops a request by its ID
+	ChecksFencing bool `json:"checks_fencing"` // rejects orders with a stale fencing token
+	CanResume     bool `json:"can_resume"`     // can continue a stream at a given token
+	CanCancel     bool `json:"can_cancel"`     // can cancel a request by its ID
 	KVExport      bool `json:"kv_export"`
 }
 
-// Load is the part of an announcement that changes often.
+// Load is the frequently changing part of an announcement.
 type Load struct {
-	Slots   int  `json:"slots"`   // requests that run at once
-	Running int  `json:"running"` // requests in slots, with the report's lag
-	Queued  int  `json:"queued"`  // requests waiting for a slot, with the report's lag
+	Slots   int  `json:"slots"`   // maximum number of concurrent requests
+	Running int  `json:"running"` // requests in slots when the report was made
+	Queued  int  `json:"queued"`  // requests waiting for a slot when the report was made
 	Ready   bool `json:"ready"`
-	Leaving bool `json:"leaving"` // sticky for the incarnation
+	Leaving bool `json:"leaving"` // shutting down; never reset within an incarnation
 }
 
-// Reasons for refusing an announcement.
+// Reasons for rejecting an announcement.
 const (
 	ReasonBadAnnouncement apierr.Reason = "bad_announcement"
 	ReasonBadAddress      apierr.Reason = "bad_address"
 )
 
-// maxSlots bounds the slots that one replica may claim, so that a faulty
-// report cannot draw all traffic to it.
+// maxSlots limits the slots that one replica may announce, so that a faulty
+// report cannot attract all traffic.
 const maxSlots = 65536
 
-// Validate checks an announcement; its error names the field and the remedy.
+// Validate checks an announcement. Its error names the invalid field and the
+// remedy.
 func (a *Announcement) Validate() error {
 	if err := checkAddress(a.Address); err != nil {
 		return err
 	}
 	switch {
 	case a.Service == "":
-		return badField("service", "empty", "name the model or service that requests ask for")
+		return badField("service", "empty", "set it to the model or service that requests name")
 	case a.Replica == "":
-		return badField("replica", "empty", "give each replica an ID of its own")
+		return badField("replica", "empty", "set a unique ID for each replica")
 	case a.Place == "":
-		return badField("place", "empty", "name the data centre that the replica runs in")
+		return badField("place", "empty", "set it to the data centre that the replica runs in")
 	case a.Kind != KindEngine && a.Kind != KindService:
 		return badField("kind", string(a.Kind), `use "engine" or "service"`)
 	case a.Incarnation == 0:
-		return badField("incarnation", "0", "start at 1 and raise it at each start of the process")
+		return badField("incarnation", "0", "start at 1 and increase it at each start of the process")
 	case a.Slots < 1 || a.Slots > maxSlots:
-		return badField("slots", "out of range", "give the number of requests that run at once, 1 to 65536")
+		return badField("slots", "out of range", "set it to the maximum number of concurrent requests, 1 to 65536")
 	case a.Running < 0 || a.Queued < 0:
-		return badField("running or queued", "negative", "give counts of requests")
+		return badField("running or queued", "negative", "report request counts of 0 or more")
 	}
 	return nil
 }
@@ -99,7 +99,7 @@
 	return apierr.New(apierr.Invalid, ReasonBadAnnouncement, remedy, "announcement field %s is %s", field, value)
 }
 
-// checkAddress refuses addresses that no gate could connect to.
+// checkAddress rejects addresses that no gate could connect to.
 func checkAddress(address string) error {
 	const remedy = "announce the IP and port that gates connect to, such as 10.0.0.7:8000"
 	parsed, err := netip.ParseAddrPort(address)
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// Serves says whether the replica has the model in the version; an empty model
-// or version stands for any.
+// Serves reports whether the replica has loaded the given version of the model.
+// An empty model or version matches any.
 func (a *Announcement) Serves(model, version string) bool {
 	if len(a.Models) == 0 || model == "" {
 		return true
--- a/internal/upstream/cache.go
+++ b/internal/upstream/cache.go
@@ -1,20 +1,21 @@
 package upstream
 
-// CacheEvent says that a replica has taken a prompt prefix into its cache or
-// dropped it. Events come late and with gaps.
+// CacheEvent reports that a replica has added a prompt prefix to its cache or
+// evicted it. Events may be delayed or lost.
 type CacheEvent struct {
 	Replica     ReplicaID `json:"replica"`
 	Incarnation uint64    `json:"incarnation"`
-	Sequence    uint64    `json:"sequence"` // rises by one an event
+	Sequence    uint64    `json:"sequence"` // increases by one with each event
 	Prefix      uint64    `json:"prefix"`   // hash of the prompt prefix
 	Dropped     bool      `json:"dropped,omitempty"`
 }
 
-// maxHintsPerReplica bounds the memory of hints: 8 bytes each in two fields.
+// maxHintsPerReplica bounds the memory that hints use: 8 bytes each in two
+// fields.
 const maxHintsPerReplica = 4096
 
-// CacheHints remembers which prefixes each replica is believed to cache. It is
-// a hint only: a wrong one costs a recomputed prefix, never a wrong answer.
+// CacheHints records which prefixes each replica probably caches. A wrong hint
+// costs the recomputation of a prefix, never a wrong answer.
 type CacheHints struct {
 	replicas map[ReplicaID]*replicaHints
 }
@@ -25,11 +26,11 @@
 	prefixes    map[uint64]struct{}
 }
 
-// NewCacheHints makes an empty memory of hints.
+// NewCacheHints creates an empty set of hints.
 func NewCacheHints() *CacheHints { return &CacheHints{replicas: make(map[ReplicaID]*replicaHints)} }
 
-// Observe takes in an event. A gap in the sequence voids all that was believed
-// of the replica, since a lost event may have dropped any prefix.
+// Observe applies an event. A gap in the sequence discards all hints for the
+// replica, since the lost event may have evicted any prefix.
 func (h *CacheHints) Observe(e CacheEvent) {
 	known := h.replicas[e.Replica]
 	if known == nil || e.Incarnation > known.incarnation {
@@ -50,7 +51,7 @@
 	known.prefixes[e.Prefix] = struct{}{}
 }
 
-// Holds says whether the replica is believed to cache the prefix.
+// Holds reports whether the replica probably caches the prefix.
 func (h *CacheHints) Holds(id ReplicaID, prefix uint64) bool {
 	known := h.replicas[id]
 	if known == nil {
@@ -60,5 +61,5 @@
 	return held
 }
 
-// Forget drops what was believed of a replica.
+// Forget removes all hints for a replica.
 func (h *CacheHints) Forget(id ReplicaID) { delete(h.replicas, id) }
--- a/internal/upstream/digest.go
+++ b/internal/upstream/digest.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// LoadDigest is a load report in short form, for gates that know the replica's
-// identity already.
+// LoadDigest is a compact load report, for gates that already know the
+// replica's identity.
 type LoadDigest struct {
 	Replica     ReplicaID `json:"r"`
 	Incarnation uint64    `json:"i"`
@@ -11,20 +11,19 @@
 	Load        Load      `json:"l"`
 }
 
-// Digest carries what changed in one service's table, from gate to gate.
-// Merging is idempotent and commutes, so digests may be doubled, lost and
-// reordered.
+// Digest carries the changes in one service's table between gates. Merging is
+// idempotent and commutative, so digests may be duplicated, lost or reordered.
 type Digest struct {
 	Service  string         `json:"service"`
 	Identity []Announcement `json:"identity,omitempty"` // replicas whose identity changed
 	Loads    []LoadDigest   `json:"loads,omitempty"`    // replicas of which only the load changed
 	Strikes  []Strike       `json:"strikes,omitempty"`
-	Feeding  []Feeding      `json:"feeding,omitempty"` // replicas that the sending gate feeds
+	Feeding  []Feeding      `json:"feeding,omitempty"` // replicas that the sending gate owns
 }
 
-// Changes gives what changed after version since, and the version now; since 0
-// gives everything. A peer that missed a digest asks again with the version
-// that it has.
+// Changes returns the changes after version since, and the current version.
+// With since 0 it returns everything. A peer that missed a digest asks again
+// with the version that it has.
 func (t *Table) Changes(since uint64) (Digest, uint64) {
 	var d Digest
 	for _, e := range t.entries {
@@ -42,8 +41,8 @@
 	return LoadDigest{Replica: e.Replica, Incarnation: e.Incarnation, Sequence: e.Sequence, Load: e.Load}
 }
 
-// Report takes in a load digest. One of an unknown replica or of another
-// incarnation is ignored: its identity must come first.
+// ApplyLoad applies a load digest. It ignores a digest for an unknown replica or
+// another incarnation: the replica's identity must arrive first.
 func (t *Table) Report(now time.Time, d LoadDigest) (Change, error) {
 	e := t.Get(d.Replica)
 	if e == nil || e.Incarnation != d.Incarnation {
@@ -55,9 +54,9 @@
 	return t.Announce(now, a)
 }
 
-// Feeding says what the gate that feeds a replica with batch knows of its load.
-// All gates tell it at once what they send there, so that this is fresher than
-// the replica's report, and tells batch from online work.
+// OwnerLoad is a replica's load as its owner gate knows it. All gates report to
+// the owner immediately what they send to the replica, so this is more recent
+// than the replica's own report, and it separates batch from online work.
 type Feeding struct {
 	Replica ReplicaID `json:"r"`
 	Batch   int       `json:"b"` // batch requests
--- a/internal/upstream/strikes.go
+++ b/internal/upstream/strikes.go
@@ -8,10 +8,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fingerprint identifies a request by what an upstream would execute.
+// Fingerprint identifies a request by the content that an upstream would
+// execute.
 type Fingerprint uint64
 
-// FingerprintOf hashes the service and the body of a request.
+// FingerprintOf returns the hash of a request's service and body.
 func FingerprintOf(service string, body []byte) Fingerprint {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(service)
@@ -20,192 +21,197 @@
 	return Fingerprint(digest.Sum64())
 }
 
-// Strike records that a request was running on a replica when that incarnation
-// of it died.
+// CrashRecord records that a request was running on a replica when that
+// incarnation of the replica crashed.
 type Strike struct {
 	Fingerprint Fingerprint `json:"f"`
 	Replica     ReplicaID   `json:"r"`
 	Incarnation uint64      `json:"i"`
-	Gate        string      `json:"g"` // the gate whose attempt it was
+	Gate        string      `json:"g"` // the gate that made the attempt
 	At          time.Time   `json:"t"`
-	Cleared     bool        `json:"c,omitempty"` // the request has completed since: it was a bystander
+	Cleared     bool        `json:"c,omitempty"` // the request has completed since, so it did not cause the crash
 
-	version uint64 // of the last change, at this gate
+	version uint64 // of the last change at this gate
 }
 
-// Standing says how a fingerprint may be run.
+// FingerprintStatus determines how requests with a fingerprint may run.
 type Standing int
 
-// Standings of a fingerprint.
+// Statuses of a fingerprint.
 const (
-	StandingClear     Standing = iota // no strike: runs as any other
-	StandingSuspect                   // one replica died: one attempt at a time, by one gate
-	StandingCondemned                 // two replicas died: refused
+	StandingClear     Standing = iota // no crash: no restrictions
+	StandingSuspect                   // one crash: one attempt at a time, by one gate
+	StandingCondemned                 // two crashes: refused
 )
 
-// condemnAt is the number of deaths after which a request is refused.
-const condemnAt = 2
+// refuseAtCrashes is the number of crashes at which a request is refused.
+const refuseAtCrashes = 2
 
-// Strikes holds the strikes of one service. Merging two sets keeps each strike
-// once, cleared if either side has it cleared.
+// CrashRecords holds the crash records of one service. Merging two sets keeps
+// each record once, cleared if either set has it cleared.
 type Strikes struct {
-	lifetime time.Duration
-	bump     func() uint64
-	byPrint  map[Fingerprint][]Strike // sorted by replica, incarnation, gate
+	lifetime      time.Duration
+	nextVersion   func() uint64
+	byFingerprint map[Fingerprint][]Strike // sorted by replica, incarnation, gate
 }
 
-// NewStrikes makes an empty set whose strikes are forgotten after lifetime; bump
-// gives the version of each change.
-func NewStrikes(lifetime time.Duration, bump func() uint64) *Strikes {
-	return &Strikes{lifetime: lifetime, bump: bump, byPrint: make(map[Fingerprint][]Strike)}
+// NewCrashRecords creates an empty set whose records expire after lifetime.
+// nextVersion returns the version for each change.
+func NewStrikes(lifetime time.Duration, nextVersion func() uint64) *Strikes {
+	return &Strikes{lifetime: lifetime, nextVersion: nextVersion, byFingerprint: make(map[Fingerprint][]Strike)}
 }
 
-// Add records a strike and says whether it was new or changed an old one.
-func (s *Strikes) Add(strike Strike) bool {
-	list := s.byPrint[strike.Fingerprint]
-	i, found := slices.BinarySearchFunc(list, strike, compareStrikes)
+// Add adds a crash record and reports whether the set changed: the record was
+// new or cleared an existing one.
+func (s *Strikes) Add(record Strike) bool {
+	list := s.byFingerprint[record.Fingerprint]
+	i, found := slices.BinarySearchFunc(list, record, compareRecords)
 	if !found {
-		strike.version = s.bump()
-		s.byPrint[strike.Fingerprint] = slices.Insert(list, i, strike)
+		record.version = s.nextVersion()
+		s.byFingerprint[record.Fingerprint] = slices.Insert(list, i, record)
 		return true
 	}
-	if strike.Cleared && !list[i].Cleared {
+	if record.Cleared && !list[i].Cleared {
 		list[i].Cleared = true
-		list[i].version = s.bump()
+		list[i].version = s.nextVersion()
 		return true
 	}
 	return false
 }
 
-func compareStrikes(a, b Strike) int {
+func compareRecords(a, b Strike) int {
 	return cmp.Or(
 		cmp.Compare(a.Replica, b.Replica),
 		cmp.Compare(a.Incarnation, b.Incarnation),
 		cmp.Compare(a.Gate, b.Gate))
 }
 
-// Clear marks the strikes of a fingerprint as a bystander's, since it has
-// completed, and returns those that changed.
-func (s *Strikes) Clear(print Fingerprint) []Strike {
+// Clear marks the records of a fingerprint as cleared, since a request with it
+// has completed, and returns the records that changed.
+func (s *Strikes) Clear(fingerprint Fingerprint) []Strike {
 	var changed []Strike
-	list := s.byPrint[print]
+	list := s.byFingerprint[fingerprint]
 	for i := range list {
 		if !list[i].Cleared {
 			list[i].Cleared = true
-			list[i].version = s.bump()
+			list[i].version = s.nextVersion()
 			changed = append(changed, list[i])
 		}
 	}
 	return changed
 }
 
-// Standing counts the deaths with the fingerprint running. Two incarnations of
-// one replica count as two, so that a service with a single replica is
-// protected as well; a bystander of a faulty VM is tried elsewhere, completes
-// and is cleared before it meets the second death.
-func (s *Strikes) Standing(now time.Time, print Fingerprint) Standing {
-	list, struck := s.byPrint[print]
-	if !struck {
+// Status derives the status from the number of crashes while the fingerprint was
+// running. Two incarnations of one replica count as two crashes, so that a
+// service with a single replica is protected as well. A harmless request that
+// was on a faulty VM is retried elsewhere, completes and is cleared before it
+// sees a second crash.
+func (s *Strikes) Standing(now time.Time, fingerprint Fingerprint) Standing {
+	list, found := s.byFingerprint[fingerprint]
+	if !found {
 		return StandingClear
 	}
-	switch deaths := s.deaths(now, list); {
-	case deaths >= condemnAt:
+	switch crashes := s.countCrashes(now, list); {
+	case crashes >= refuseAtCrashes:
 		return StandingCondemned
-	case deaths > 0:
+	case crashes > 0:
 		return StandingSuspect
 	default:
 		return StandingClear
 	}
 }
 
-// Deaths counts the deaths with the fingerprint running and gives the time of
-// the last.
-func (s *Strikes) Deaths(now time.Time, print Fingerprint) (int, time.Time) {
-	list := s.byPrint[print]
+// CrashCount returns the number of crashes while the fingerprint was running and
+// the time of the last one.
+func (s *Strikes) Deaths(now time.Time, fingerprint Fingerprint) (int, time.Time) {
+	list := s.byFingerprint[fingerprint]
 	var last time.Time
-	for _, strike := range list {
-		if s.counts(now, strike) && strike.At.After(last) {
-			last = strike.At
+	for _, record := range list {
+		if s.isActive(now, record) && record.At.After(last) {
+			last = record.At
 		}
 	}
-	return s.deaths(now, list), last
+	return s.countCrashes(now, list), last
 }
 
-func (s *Strikes) deaths(now time.Time, list []Strike) int {
+func (s *Strikes) countCrashes(now time.Time, list []Strike) int {
 	count := 0
 	var last Strike
-	for _, strike := range list {
-		if !s.counts(now, strike) {
+	for _, record := range list {
+		if !s.isActive(now, record) {
 			continue
 		}
-		if strike.Replica == last.Replica && strike.Incarnation == last.Incarnation {
-			continue // the same death, seen by another gate
+		if record.Replica == last.Replica && record.Incarnation == last.Incarnation {
+			continue // the same crash, reported by another gate
 		}
 		count++
-		last = strike
+		last = record
 	}
 	return count
 }
 
-func (s *Strikes) counts(now time.Time, strike Strike) bool {
-	return !strike.Cleared && now.Sub(strike.At) <= s.lifetime
+// isActive reports whether a record is neither cleared nor expired.
+func (s *Strikes) isActive(now time.Time, record Strike) bool {
+	return !record.Cleared && now.Sub(record.At) <= s.lifetime
 }
 
-// Holder names the gate that alone may try a suspect fingerprint: the first, by
-// name, of the live gates that saw it strike. It is empty when none of them
-// lives; the caller then falls back to a hash over the live gates.
+// RetryGate returns the only gate that may retry a suspect fingerprint: the
+// first, by name, of the live gates that reported a crash with it. It returns ""
+// when none of them is live; the caller then chooses by a hash over the live
+// gates.
 //
-// Without one holder, a caller that resends through several gates would lose a
-// replica for each gate that has not yet seen the second strike.
-func (s *Strikes) Holder(now time.Time, print Fingerprint, live func(gate string) bool) string {
-	holder := ""
-	for _, strike := range s.byPrint[print] {
-		if !s.counts(now, strike) || !live(strike.Gate) {
+// Otherwise a client that resends through several gates would crash a replica
+// for each gate that has not yet received the second crash record.
+func (s *Strikes) Holder(now time.Time, fingerprint Fingerprint, isLive func(gate string) bool) string {
+	first := ""
+	for _, record := range s.byFingerprint[fingerprint] {
+		if !s.isActive(now, record) || !isLive(record.Gate) {
 			continue
 		}
-		if holder == "" || strike.Gate < holder {
-			holder = strike.Gate
+		if first == "" || record.Gate < first {
+			first = record.Gate
 		}
 	}
-	return holder
+	return first
 }
 
-// Struck lists the replicas that died with the fingerprint running.
-func (s *Strikes) Struck(now time.Time, print Fingerprint) []ReplicaID {
+// CrashedReplicas returns the replicas that crashed while the fingerprint was
+// running.
+func (s *Strikes) Struck(now time.Time, fingerprint Fingerprint) []ReplicaID {
 	var ids []ReplicaID
-	for _, strike := range s.byPrint[print] {
-		if s.counts(now, strike) && !slices.Contains(ids, strike.Replica) {
-			ids = append(ids, strike.Replica)
+	for _, record := range s.byFingerprint[fingerprint] {
+		if s.isActive(now, record) && !slices.Contains(ids, record.Replica) {
+			ids = append(ids, record.Replica)
 		}
 	}
 	return ids
 }
 
-// Expire forgets strikes past their lifetime.
+// Expire removes the records that are older than the lifetime.
 func (s *Strikes) Expire(now time.Time) {
-	for print, list := range s.byPrint {
-		list = slices.DeleteFunc(list, func(strike Strike) bool { return now.Sub(strike.At) > s.lifetime })
+	for fingerprint, list := range s.byFingerprint {
+		list = slices.DeleteFunc(list, func(record Strike) bool { return now.Sub(record.At) > s.lifetime })
 		if len(list) == 0 {
-			delete(s.byPrint, print)
+			delete(s.byFingerprint, fingerprint)
 			continue
 		}
-		s.byPrint[print] = list
+		s.byFingerprint[fingerprint] = list
 	}
 }
 
-// Changes gives the strikes that changed after version since, ordered by
-// fingerprint, replica, incarnation, gate.
+// Changes returns the records that changed after version since, ordered by
+// fingerprint, replica, incarnation and gate.
 func (s *Strikes) Changes(since uint64) []Strike {
 	var changed []Strike
-	for _, list := range s.byPrint {
-		for _, strike := range list {
-			if strike.version > since {
-				changed = append(changed, strike)
+	for _, list := range s.byFingerprint {
+		for _, record := range list {
+			if record.version > since {
+				changed = append(changed, record)
 			}
 		}
 	}
 	slices.SortFunc(changed, func(a, b Strike) int {
-		return cmp.Or(cmp.Compare(a.Fingerprint, b.Fingerprint), compareStrikes(a, b))
+		return cmp.Or(cmp.Compare(a.Fingerprint, b.Fingerprint), compareRecords(a, b))
 	})
 	return changed
 }
--- a/internal/upstream/table.go
+++ b/internal/upstream/table.go
@@ -8,54 +8,54 @@
 	"slateway.example/slateway/internal/apierr"
 )
 
-// ReasonStaleAnnouncement counts announcements of an older incarnation or
-// sequence; they arrive late or by a longer way and change nothing.
+// ReasonStaleAnnouncement is the reason for ignored announcements of an older
+// incarnation or sequence, which were overtaken on the way.
 const ReasonStaleAnnouncement apierr.Reason = "stale_announcement"
 
-// Change says what an announcement meant for the table.
+// Change classifies the effect of an announcement on the table.
 type Change int
 
-// Changes, from least to most.
+// Changes, in order of increasing extent.
 const (
-	ChangeNone     Change = iota // stale: ignored
+	ChangeNone     Change = iota // stale announcement, ignored
 	ChangeLoad                   // only load, readiness or leaving
-	ChangeIdentity               // address, models or abilities
+	ChangeIdentity               // address, models or capabilities
 	ChangeRestart                // a new incarnation of a known replica
-	ChangeJoin                   // a replica not known before
+	ChangeJoin                   // a previously unknown replica
 )
 
-// Entry is one replica as a gate knows it.
+// Entry is a gate's record of one replica.
 type Entry struct {
 	Announcement
-	Seen time.Time // when the last fresh announcement arrived
+	Seen time.Time // arrival of the last announcement that was not stale
 
 	version         uint64 // table version of the last change
 	identityVersion uint64 // table version of the last change beyond load
 }
 
-// Table holds the entries of one service, in the order of their IDs.
+// Table holds the entries of one service, ordered by replica ID.
 type Table struct {
 	lifetime time.Duration
 	entries  []*Entry
 	version  uint64
 }
 
-// NewTable makes an empty table whose entries time out after lifetime without
-// a fresh announcement.
+// NewTable creates an empty table whose entries expire after lifetime without a
+// new announcement.
 func NewTable(lifetime time.Duration) *Table { return &Table{lifetime: lifetime} }
 
-// Bump raises the version and returns it, for changes that are kept elsewhere
-// and travel in the same digests.
+// NextVersion increments the version and returns it, for changes that are stored
+// elsewhere and sent in the same digests.
 func (t *Table) Bump() uint64 {
 	t.version++
 	return t.version
 }
 
-// Entries gives all entries in the order of their IDs. The slice is the
-// table's own: read it only until the next change.
+// Entries returns all entries ordered by replica ID. The table owns the slice:
+// it is valid for reading until the next change.
 func (t *Table) Entries() []*Entry { return t.entries }
 
-// Get finds an entry; nil when the replica is unknown.
+// Get returns the entry of a replica, or nil if the replica is unknown.
 func (t *Table) Get(id ReplicaID) *Entry {
 	if i, found := t.find(id); found {
 		return t.entries[i]
@@ -69,8 +69,8 @@
 	})
 }
 
-// Announce takes in an announcement. Older incarnations and sequences are
-// ignored, since announcements take several ways and overtake each other.
+// Announce applies an announcement. It ignores older incarnations and sequences,
+// since announcements take several paths and overtake each other.
 func (t *Table) Announce(now time.Time, a Announcement) (Change, error) {
 	if err := a.Validate(); err != nil {
 		return ChangeNone, err
@@ -86,13 +86,13 @@
 }
 
 func (t *Table) update(now time.Time, e *Entry, a Announcement) Change {
-	if !fresher(a.Incarnation, a.Sequence, e) {
-		return t.leaveLate(e, &a)
+	if !isNewer(a.Incarnation, a.Sequence, e) {
+		return t.applyStaleLeaving(e, &a)
 	}
-	change := classify(e, &a)
-	// A replica that said it leaves may send an older thread's "ready" after
-	// it: within one incarnation leaving is never taken back, or new work
-	// would reach a process that is shutting down.
+	change := classifyChange(e, &a)
+	// A replica that announced that it is leaving may still send "ready" from
+	// another thread. Leaving is therefore never reset within one incarnation;
+	// otherwise new work would reach a process that is shutting down.
 	if change != ChangeRestart && e.Leaving {
 		a.Leaving = true
 	}
@@ -106,10 +106,10 @@
 	return change
 }
 
-// leaveLate takes the news that a replica leaves also from an announcement that
-// a later one has overtaken: gates that hear the two in different orders would
-// otherwise differ for good.
-func (t *Table) leaveLate(e *Entry, a *Announcement) Change {
+// applyStaleLeaving marks a replica as leaving even if the announcement is
+// stale. Otherwise gates that receive the two announcements in different orders
+// would disagree permanently.
+func (t *Table) applyStaleLeaving(e *Entry, a *Announcement) Change {
 	if a.Incarnation != e.Incarnation || !a.Leaving || e.Leaving {
 		return ChangeNone
 	}
@@ -118,14 +118,14 @@
 	return ChangeLoad
 }
 
-func fresher(incarnation, sequence uint64, e *Entry) bool {
+func isNewer(incarnation, sequence uint64, e *Entry) bool {
 	if incarnation != e.Incarnation {
 		return incarnation > e.Incarnation
 	}
 	return sequence > e.Sequence
 }
 
-func classify(e *Entry, a *Announcement) Change {
+func classifyChange(e *Entry, a *Announcement) Change {
 	if a.Incarnation != e.Incarnation {
 		return ChangeRestart
 	}
@@ -138,7 +138,8 @@
 	return ChangeIdentity
 }
 
-// Remove drops an entry, unless a later incarnation is known than the one given.
+// Remove removes the entry of a replica, unless its incarnation is later than
+// the given one. It reports whether it removed the entry.
 func (t *Table) Remove(id ReplicaID, incarnation uint64) bool {
 	i, found := t.find(id)
 	if !found || t.entries[i].Incarnation > incarnation {
@@ -148,19 +149,19 @@
 	return true
 }
 
-// Expire drops the entries that have not been announced for the lifetime and
+// Expire removes the entries without an announcement within the lifetime and
 // returns them.
 func (t *Table) Expire(now time.Time) []*Entry {
-	var gone []*Entry
+	var expired []*Entry
 	kept := t.entries[:0]
 	for _, e := range t.entries {
 		if now.Sub(e.Seen) > t.lifetime {
-			gone = append(gone, e)
+			expired = append(expired, e)
 			continue
 		}
 		kept = append(kept, e)
 	}
 	clear(t.entries[len(kept):])
 	t.entries = kept
-	return gone
+	return expired
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -51,15 +51,15 @@
 				t.Errorf("got %v, want reason %s with a remedy", err, c.reason)
 			}
 			if len(table.Entries()) > 0 {
-				t.Error("a refused announcement changed the table")
+				t.Error("a rejected announcement changed the table")
 			}
 		})
 	}
 }
 
-// TestLeavingIsNotTakenBack: an engine says that it leaves; a report that one of
-// its threads made before arrives after it, by another way or with a higher
-// number. The replica stays leaving until its process has started anew.
+// An engine announces that it is leaving; a report that one of its threads made
+// earlier arrives later, by another path or with a higher sequence. The replica
+// must stay marked as leaving until its process has restarted.
 func TestLeavingIsNotTakenBack(t *testing.T) {
 	table := upstream.NewTable(lifetime)
 	leaving := announcement("r1", 1, 5)
@@ -73,10 +73,10 @@
 		t.Error("ready again within one incarnation")
 	}
 	if change, _ := table.Announce(start, announcement("r1", 2, 1)); change != upstream.ChangeRestart || table.Get("r1").Leaving {
-		t.Error("the new process is taken for leaving")
+		t.Error("the new process is marked as leaving")
 	}
 	if change, _ := table.Announce(start, leaving); change != upstream.ChangeNone {
-		t.Error("the old process's word changed the new one's entry")
+		t.Error("an announcement of the old process changed the new one's entry")
 	}
 }
 
@@ -85,21 +85,21 @@
 	_, _ = table.Announce(start, announcement("r1", 1, 1))
 	_, _ = table.Announce(start, announcement("r2", 1, 1))
 	_, _ = table.Announce(start.Add(lifetime), announcement("r2", 1, 2))
-	gone := table.Expire(start.Add(lifetime + time.Millisecond))
-	if len(gone) != 1 || gone[0].Replica != "r1" || table.Get("r1") != nil || table.Get("r2") == nil {
-		t.Errorf("dropped %v", gone)
+	expired := table.Expire(start.Add(lifetime + time.Millisecond))
+	if len(expired) != 1 || expired[0].Replica != "r1" || table.Get("r1") != nil || table.Get("r2") == nil {
+		t.Errorf("expired entries: %v", expired)
 	}
 }
 
-// TestTablesAgree: gates hear of replicas in different orders, some twice. Once
-// each has heard all, all believe the same.
+// Gates receive announcements in different orders, some twice. Once each gate
+// has received all of them, their tables must be equal.
 func TestTablesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []upstream.Announcement
 		for range rapid.IntRange(1, 12).Draw(t, "count") {
 			a := announcement(fmt.Sprint("r", rapid.IntRange(1, 3).Draw(t, "replica")),
 				rapid.Uint64Range(1, 2).Draw(t, "incarnation"), rapid.Uint64Range(1, 4).Draw(t, "sequence"))
-			a.Running = int(a.Sequence) // one announcement has one content
+			a.Running = int(a.Sequence) // equal sequences have equal content
 			a.Leaving = a.Sequence == 2
 			all = append(all, a)
 		}
@@ -121,8 +121,8 @@
 	return digest.Identity
 }
 
-// TestChangesTravelOnce: a peer that asks with the version that it has gets what
-// changed since, in short form where only the load did.
+// A peer that asks with the version that it has receives only the changes since,
+// in compact form where only the load changed.
 func TestChangesTravelOnce(t *testing.T) {
 	table := upstream.NewTable(lifetime)
 	_, _ = table.Announce(start, announcement("r1", 1, 1))
@@ -136,12 +136,12 @@
 		t.Errorf("got %+v", digest)
 	}
 	if digest, _ = table.Changes(next); len(digest.Loads) != 0 {
-		t.Errorf("told twice: %+v", digest)
+		t.Errorf("change reported twice: %+v", digest)
 	}
 }
 
-// TestStrikesAgree: strikes and clearings reach gates in different orders, some
-// twice; all gates then judge a request alike.
+// Crash records and their clearing reach gates in different orders, some twice.
+// All gates must then derive the same status for a request.
 func TestStrikesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []upstream.Strike
@@ -155,12 +155,12 @@
 				Cleared:     rapid.Bool().Draw(t, "cleared"),
 			})
 		}
-		one, other := newStrikes(), newStrikes()
-		for _, strike := range all {
-			one.Add(strike)
+		one, other := newCrashRecords(), newCrashRecords()
+		for _, record := range all {
+			one.Add(record)
 		}
-		for _, strike := range append(rapid.Permutation(all).Draw(t, "order"), all[0]) {
-			other.Add(strike)
+		for _, record := range append(rapid.Permutation(all).Draw(t, "order"), all[0]) {
+			other.Add(record)
 		}
 		if a, b := one.Standing(start, 7), other.Standing(start, 7); a != b {
 			t.Fatalf("%v and %v", a, b)
@@ -168,41 +168,41 @@
 	})
 }
 
-func newStrikes() *upstream.Strikes {
+func newCrashRecords() *upstream.Strikes {
 	var version uint64
 	return upstream.NewStrikes(time.Minute, func() uint64 { version++; return version })
 }
 
 func TestStandingCountsDeaths(t *testing.T) {
-	strikes := newStrikes()
-	death := upstream.Strike{Fingerprint: 7, Replica: "r1", Incarnation: 1, Gate: "g1", At: start}
-	strikes.Add(death)
-	death.Gate = "g2" // the same death, seen by another gate
-	strikes.Add(death)
-	if standing := strikes.Standing(start, 7); standing != upstream.StandingSuspect {
-		t.Errorf("one death: %v", standing)
+	records := newCrashRecords()
+	crash := upstream.Strike{Fingerprint: 7, Replica: "r1", Incarnation: 1, Gate: "g1", At: start}
+	records.Add(crash)
+	crash.Gate = "g2" // the same crash, reported by another gate
+	records.Add(crash)
+	if status := records.Standing(start, 7); status != upstream.StandingSuspect {
+		t.Errorf("one crash: %v", status)
 	}
-	death.Incarnation = 2
-	strikes.Add(death)
-	if standing := strikes.Standing(start, 7); standing != upstream.StandingCondemned {
-		t.Errorf("two deaths: %v", standing)
+	crash.Incarnation = 2
+	records.Add(crash)
+	if status := records.Standing(start, 7); status != upstream.StandingCondemned {
+		t.Errorf("two crashes: %v", status)
 	}
-	if standing := strikes.Standing(start.Add(time.Hour), 7); standing != upstream.StandingClear {
-		t.Errorf("after the lifetime: %v", standing)
+	if status := records.Standing(start.Add(time.Hour), 7); status != upstream.StandingClear {
+		t.Errorf("after the lifetime: %v", status)
 	}
 }
 
-// TestCacheHintsVoidAtGap: an event that told that a prefix was dropped is lost.
-// What is believed of the replica is void, rather than wrong for long.
+// An event that reports an eviction is lost. All hints for the replica must be
+// discarded, since a wrong hint would otherwise last for long.
 func TestCacheHintsVoidAtGap(t *testing.T) {
 	hints := upstream.NewCacheHints()
 	event := upstream.CacheEvent{Replica: "r1", Incarnation: 1, Sequence: 1, Prefix: 10}
 	hints.Observe(event)
 	event.Sequence, event.Prefix = 3, 30
 	hints.Observe(event)
-	event.Sequence, event.Prefix = 2, 20 // late
+	event.Sequence, event.Prefix = 2, 20 // delayed
 	hints.Observe(event)
 	if hints.Holds("r1", 10) || hints.Holds("r1", 20) || !hints.Holds("r1", 30) {
-		t.Error("believed what a lost or late event may have changed")
+		t.Error("kept a hint that a lost or delayed event may have changed")
 	}
 }
