--- a/internal/job/complete.go
+++ b/internal/job/complete.go
@@ -8,7 +8,7 @@
 	"slateway.example/slateway/internal/instant"
 )
 
-// StoredResult is a result as a Storage keeps it and readers get it.
+// StoredResult is the stored form of an item's result, which readers receive.
 type StoredResult struct {
 	Item     uint32         `cbor:"1,keyasint"`
 	Attempt  int            `cbor:"2,keyasint"`
@@ -21,16 +21,16 @@
 	Finished instant.Micros `cbor:"9,keyasint"`
 }
 
-// Complete takes the results of attempts. The first answer to an item wins,
-// also one of an attempt that had lost its lease; the others are dropped and
-// counted. Complete may be resent.
+// Complete applies the results of attempts. The first answer to an item wins,
+// even from an attempt that no longer holds its lease; the others are dropped and
+// counted. Complete is idempotent.
 func (t *Table) Complete(id SessionID, results []Result, now instant.Micros) {
 	for i := range results {
-		t.completeOne(id, &results[i], now)
+		t.completeItem(id, &results[i], now)
 	}
 }
 
-func (t *Table) completeOne(id SessionID, result *Result, now instant.Micros) {
+func (t *Table) completeItem(id SessionID, result *Result, now instant.Micros) {
 	job, found := t.jobs[result.Job]
 	if !found || job.state != StateRunning {
 		t.dropped.Ended++
@@ -41,7 +41,7 @@
 		return
 	}
 	held, leased := job.leases[result.Item]
-	current := leased && held.isOf(id, result.Attempt)
+	current := leased && held.heldBy(id, result.Attempt)
 	if result.Outcome == OutcomeReached {
 		if current {
 			t.keepPartial(job, result)
@@ -57,39 +57,40 @@
 		return
 	}
 	if current && result.Outcome == OutcomeSucceeded {
-		t.observeTaken(job, held, now)
+		t.observeDuration(job, held, now)
 	}
-	t.takeResult(job, result, now)
+	t.applyResult(job, result, now)
 }
 
 const (
-	// takenWeight is the weight of a new sample in the mean: an eighth, as for
-	// round trips in TCP. Some ten items end in a second on a small site.
-	takenWeight = 8
-	// takenBound bounds a sample by this part of the time that the job allows. In
-	// lasting overload items take as long as they may, and with a longer time than
-	// the half no job could be said to be in time.
-	takenBound = 2
+	// durationWeight is the inverse weight of a new sample in the mean: 1/8, as for
+	// round-trip times in TCP. About ten items end each second at a small site.
+	durationWeight = 8
+	// durationCapDivisor limits a sample to this fraction, 1/2, of the time that
+	// the job allows. Under sustained overload items take all the time that they
+	// are allowed, and with longer samples every job would count as overdue.
+	durationCapDivisor = 2
 )
 
-// observeTaken takes in how long an item took that was run from its beginning.
-func (t *Table) observeTaken(job *entry, held lease, now instant.Micros) {
-	if held.At == 0 || held.From > 0 {
+// observeDuration updates the queue's mean with the duration of an item, unless
+// the attempt resumed a partial answer.
+func (t *Table) observeDuration(job *entry, held lease, now instant.Micros) {
+	if held.LeasedAt == 0 || held.ResumedAfter > 0 {
 		return
 	}
-	sample := min(now.Sub(held.At), job.deadline.Sub(job.created)/takenBound)
-	mean, known := t.taken[job.spec.Queue]
+	sample := min(now.Sub(held.LeasedAt), job.deadline.Sub(job.created)/durationCapDivisor)
+	mean, known := t.meanDuration[job.spec.Queue]
 	if !known {
 		mean = sample
 	}
-	t.taken[job.spec.Queue] = mean + (sample-mean)/takenWeight
+	t.meanDuration[job.spec.Queue] = mean + (sample-mean)/durationWeight
 }
 
-func (t *Table) takeResult(job *entry, result *Result, now instant.Micros) {
+func (t *Table) applyResult(job *entry, result *Result, now instant.Micros) {
 	switch result.Outcome {
 	case OutcomeSucceeded, OutcomeFailed, OutcomeUnknown:
 		t.dropLease(job, result.Item)
-		t.store(job, &StoredResult{
+		t.storeResult(job, &StoredResult{
 			Item:     result.Item,
 			Attempt:  result.Attempt,
 			Outcome:  result.Outcome,
@@ -109,9 +110,9 @@
 		t.retryItem(job, result.Item, result.Attempt, now, result.Message)
 	case OutcomeReturned:
 		t.dropLease(job, result.Item)
-		// Numbered as before, the next lease could be ended by a late copy of
-		// this report while its gate runs the item, and a second gate would run
-		// it too.
+		// The next lease gets a new attempt number. Otherwise a delayed copy of
+		// this report could end that lease while its gate runs the item, and a
+		// second gate would run the item too.
 		t.keepPartial(job, result)
 		t.returnUncounted(job, result.Item, result.Attempt, now)
 	default:
@@ -119,14 +120,13 @@
 	}
 }
 
-// keepPartial stores what an attempt has made of the answer, if that is more than
-// what is known. A piece that does not follow what is known is of no use: the one
-// before it was lost, or comes later. The records count as used until the job is
-// forgotten.
+// keepPartial stores a partial answer if it extends the known one. It ignores a
+// piece that does not directly follow the known part: the piece in between was
+// lost or is delayed. The records count as used until the job is deleted.
 func (t *Table) keepPartial(job *entry, result *Result) {
 	known := job.partials[result.Item]
-	follows := result.From == 0 || result.From == known.Reached
-	if len(result.Partial) == 0 || result.Reached <= known.Reached || !follows {
+	follows := result.From == 0 || result.From == known.End
+	if len(result.Partial) == 0 || result.Reached <= known.End || !follows {
 		return
 	}
 	ref := t.storage.AppendResult(result.Partial)
@@ -134,7 +134,7 @@
 	if job.partials == nil {
 		job.partials = make(map[uint32]partial)
 	}
-	next := partial{Reached: result.Reached, Ref: ref}
+	next := partial{End: result.Reached, Ref: ref}
 	if result.From > 0 {
 		next.Ref = known.Ref
 		next.More = append(slices.Clone(known.More), ref)
@@ -144,7 +144,7 @@
 
 // endItem ends an item for which no gate reports a final result.
 func (t *Table) endItem(job *entry, item uint32, attempt int, now instant.Micros, outcome Outcome, reason apierr.Reason, message string) {
-	t.store(job, &StoredResult{
+	t.storeResult(job, &StoredResult{
 		Item:     item,
 		Attempt:  attempt,
 		Outcome:  outcome,
@@ -155,26 +155,27 @@
 	}, now)
 }
 
-// customID reads the caller's ID of an item from its part. The last part is
-// kept, as the items of a lost gate mostly lie in one.
+// customID reads the caller's ID of an item from its part. It caches the last
+// part, since the items of a lost gate are mostly in the same one.
 func (t *Table) customID(job *entry, item uint32) string {
-	owner := job.partOf(item)
-	if t.lastPart != owner.Ref {
-		t.lastItems = nil
-		if err := codec.Unmarshal(t.storage.ReadPart(owner.Ref), &t.lastItems); err != nil {
+	source := job.partOf(item)
+	if t.cachedPart != source.Ref {
+		t.cachedItems = nil
+		if err := codec.Unmarshal(t.storage.ReadPart(source.Ref), &t.cachedItems); err != nil {
 			return ""
 		}
-		t.lastPart = owner.Ref
+		t.cachedPart = source.Ref
 	}
-	index := int(item - owner.First)
-	if index >= len(t.lastItems) {
+	index := int(item - source.First)
+	if index >= len(t.cachedItems) {
 		return ""
 	}
-	return t.lastItems[index].CustomID
+	return t.cachedItems[index].CustomID
 }
 
-// store keeps the final result of an item and ends the job with its last one.
-func (t *Table) store(job *entry, result *StoredResult, now instant.Micros) {
+// storeResult stores the final result of an item and completes the job if it was
+// the last one.
+func (t *Table) storeResult(job *entry, result *StoredResult, now instant.Micros) {
 	ref := t.storage.AppendResult(codec.MustMarshal(result))
 	t.useResult(job, ref)
 	switch result.Outcome {
@@ -185,11 +186,11 @@
 	default:
 		job.failed++
 	}
-	delete(job.tries, result.Item)
+	delete(job.attempts, result.Item)
 	delete(job.partials, result.Item)
 	t.setResult(job, result.Item, ref)
 	job.order = append(job.order, result.Item)
-	t.freeTokens(job, result.Item)
+	t.releaseTokens(job, result.Item)
 	if job.succeeded+job.failed+job.unknown == job.items {
 		t.end(job, StateCompleted, now)
 	}
--- a/internal/job/ended.go
+++ b/internal/job/ended.go
@@ -13,17 +13,17 @@
 	"slateway.example/slateway/internal/instant"
 )
 
-// endedJobs is the index of the jobs that have ended. Their records lie in the
-// storage: at 72,000 jobs a day and three days of retention, whole records would
-// take more memory than a keeper may use.
+// endedJobs is the index of the jobs that have ended. Their records are in the
+// storage: with 72,000 jobs per day and three days of retention, complete records
+// would exceed a keeper's memory limit.
 type endedJobs struct {
 	byKey  map[jobKey]endedJob
 	expiry *btree.BTreeG[expiryKey]
-	teams  []string // by number
+	teams  []string // by team number
 	number map[string]uint32
 }
 
-// jobKey is an ID without its text form.
+// jobKey is the binary form of an ID.
 type jobKey [16]byte
 
 type endedJob struct {
@@ -52,12 +52,12 @@
 	}
 }
 
-// idPrefix begins each job ID; the hexadecimal form of a key follows.
+// idPrefix is the prefix of each job ID; the key in hexadecimal follows.
 const idPrefix = "job-"
 
 func (id ID) key() (key jobKey, ok bool) {
-	digits, ours := strings.CutPrefix(string(id), idPrefix)
-	if !ours || len(digits) != hex.EncodedLen(len(key)) {
+	digits, found := strings.CutPrefix(string(id), idPrefix)
+	if !found || len(digits) != hex.EncodedLen(len(key)) {
 		return key, false
 	}
 	_, err := hex.Decode(key[:], []byte(digits))
@@ -90,8 +90,8 @@
 	return number
 }
 
-// ofTeam gives the records of a team's jobs, in no order.
-func (e *endedJobs) ofTeam(team string) []Ref {
+// recordsOfTeam returns the records of a team's jobs in no particular order.
+func (e *endedJobs) recordsOfTeam(team string) []Ref {
 	number, found := e.number[team]
 	if !found {
 		return nil
@@ -105,36 +105,39 @@
 	return refs
 }
 
-// archive writes the record of a job that has just ended and frees its memory.
+// archive writes the record of a job that has just ended and removes the job from
+// memory.
 func (t *Table) archive(job *entry) {
 	record := t.storage.AppendResult(codec.MustMarshal(job.stored()))
-	t.results.add(record)
+	t.resultSegments.add(record)
 	delete(t.jobs, job.id)
-	key, _ := job.id.key() // made by NewID, so it has one
+	key, _ := job.id.key() // IDs from NewID always have a key
 	t.ended.insert(key, endedJob{record: record, expires: job.expires(), team: t.ended.teamNumber(job.spec.Team)})
 }
 
-// load reads an ended job.
-func (t *Table) load(record Ref) *entry {
+// loadEnded reads an ended job from the storage.
+func (t *Table) loadEnded(record Ref) *entry {
 	var stored storedJob
 	if err := codec.Unmarshal(t.storage.ReadRecord(record), &stored); err != nil {
-		// The checksum held, so another program wrote it, or this one has a defect.
-		panic(fmt.Sprintf("job: record of an ended job does not decode: %v", err))
+		// The checksum was valid, so the record was written by another program or
+		// there is a bug in this one.
+		panic(fmt.Sprintf("job: cannot decode the record of an ended job: %v", err))
 	}
 	return stored.entry()
 }
 
-// Expire cancels the jobs whose upload was given up, deletes those whose
-// retention is over, and returns how many it deleted.
+// Expire cancels the jobs whose upload has expired, ends the items whose give-up
+// time has passed, and deletes the jobs whose retention has ended. It returns the
+// number of deleted jobs.
 func (t *Table) Expire(now instant.Micros) int {
 	for {
-		oldest, found := t.uploads.Min()
+		oldest, found := t.uploadExpiry.Min()
 		if !found || oldest.at > now {
 			break
 		}
 		t.end(t.jobs[oldest.key.id()], StateCancelled, now)
 	}
-	t.giveUpOverdue(now)
+	t.giveUpDueJobs(now)
 	deleted := 0
 	for {
 		first, found := t.ended.expiry.Min()
@@ -142,7 +145,7 @@
 			return deleted
 		}
 		t.ended.expiry.DeleteMin()
-		t.forget(first.key)
+		t.deleteEnded(first.key)
 		deleted++
 	}
 }
@@ -150,23 +153,23 @@
 // Expired reports whether Expire would change anything.
 func (t *Table) Expired(now instant.Micros) bool {
 	first, found := t.ended.expiry.Min()
-	oldest, uploading := t.uploads.Min()
+	oldest, uploading := t.uploadExpiry.Min()
 	next, running := t.giveUps.Min()
 	return found && first.at <= now || uploading && oldest.at <= now || running && next.at <= now
 }
 
-// forget gives up the records of an ended job.
-func (t *Table) forget(key jobKey) {
+// deleteEnded removes an ended job and releases its records.
+func (t *Table) deleteEnded(key jobKey) {
 	record := t.ended.byKey[key].record
-	for segment, count := range t.load(record).used {
-		t.results.subtract(segment, count)
+	for segment, count := range t.loadEnded(record).resultSegments {
+		t.resultSegments.subtract(segment, count)
 	}
-	t.results.remove(record)
+	t.resultSegments.remove(record)
 	delete(t.ended.byKey, key)
 }
 
-// storedEnded is the encoded form of an endedJobs: one fixed-size record a job,
-// as there are hundreds of thousands of them.
+// storedEnded is the encoded form of endedJobs: one compact record of fixed size
+// per job, as there are hundreds of thousands of jobs.
 type storedEnded struct {
 	Teams []string `cbor:"1,keyasint,omitempty"`
 	Jobs  []byte   `cbor:"2,keyasint,omitempty"` // in order of expiry
--- a/internal/job/lease.go
+++ b/internal/job/lease.go
@@ -19,41 +19,42 @@
 	return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Item, b.Item))
 }
 
-// Want asks for items of one queue.
+// QueueDemand requests items of one queue.
 type Want struct {
 	Queue Queue `cbor:"1,keyasint"`
 	Max   int   `cbor:"2,keyasint"`
-	Held  int   `cbor:"3,keyasint,omitempty"` // items of it that the session's gate holds already
+	Held  int   `cbor:"3,keyasint,omitempty"` // items of the queue that the gate already holds
 }
 
 // Leased is an item that a gate may run now.
 type Leased struct {
 	Job           ID             `cbor:"1,keyasint"`
 	Item          uint32         `cbor:"2,keyasint"`
-	Attempt       int            `cbor:"3,keyasint"` // rises with each lease of the item, from 1
+	Attempt       int            `cbor:"3,keyasint"` // number of the item's lease, from 1
 	Team          string         `cbor:"4,keyasint"`
 	Queue         Queue          `cbor:"5,keyasint"`
 	Class         string         `cbor:"6,keyasint,omitempty"`
 	Deadline      instant.Micros `cbor:"7,keyasint"` // of the job
 	NonIdempotent bool           `cbor:"8,keyasint,omitempty"`
-	Part          Ref            `cbor:"9,keyasint"`  // where its body lies
+	Part          Ref            `cbor:"9,keyasint"`  // the part that contains the item
 	Index         uint32         `cbor:"10,keyasint"` // within the part
-	// GiveUp and OnlyAnswersCount are those of the job's Spec.
+	// GiveUpAt and CountOnlyAnswered are copied from the job's Spec.
 	GiveUp           instant.Micros `cbor:"11,keyasint,omitempty"`
 	OnlyAnswersCount bool           `cbor:"12,keyasint,omitempty"`
-	// Reached and Partial are what earlier attempts have made of the answer.
-	Reached int   `cbor:"13,keyasint,omitempty"`
+	// PartialEnd and Partial describe the partial answer of earlier attempts.
+	Reached int   `cbor:"13,keyasint,omitempty"` // its last event or token
 	Partial []Ref `cbor:"16,keyasint,omitempty"` // its pieces in order
-	// Takes is how long items of the queue take from their lease to their end; 0:
-	// not known.
+	// ExpectedRunTime is the mean time from the lease of the queue's items to their
+	// end; 0 means unknown.
 	Takes time.Duration `cbor:"15,keyasint,omitempty"`
-	Owner string        `cbor:"17,keyasint,omitempty"` // of the job's Spec
-	// At is when the item was leased, by the clock that Deadline and GiveUp count by;
-	// zero from keepers that do not say it.
+	Owner string        `cbor:"17,keyasint,omitempty"` // copied from the job's Spec
+	// LeasedAt is the time of the lease by the same clock as Deadline and GiveUpAt;
+	// zero from keepers that do not send it.
 	At instant.Micros `cbor:"18,keyasint,omitempty"`
 }
 
-// ByClock gives an instant of the lease by the clock of who has just got it.
+// LocalTime converts a time of the lease to the receiving gate's clock, assuming
+// that the lease was made just now.
 func (l *Leased) ByClock(m instant.Micros, now time.Time) time.Time {
 	if m == 0 || l.At == 0 {
 		return m.Time()
@@ -61,13 +62,12 @@
 	return now.Add(m.Sub(l.At))
 }
 
-// loseItem ends the lease of an item whose gate is lost.
+// endLostLease ends the lease of an item whose gate is lost.
 //
-// The gate may have run it without being able to report. An item that may not
-// run twice therefore ends here as unknown; any other is leased again until its
-// attempts are used up, since an item that takes its gate down with it would
-// otherwise go round for ever.
-func (t *Table) loseItem(job *entry, item uint32, now instant.Micros) {
+// The gate may have run the item without reporting it. A non-idempotent item
+// therefore ends as unknown. Any other item is leased again; the attempt counts,
+// because an item that crashes its gate would otherwise be retried forever.
+func (t *Table) endLostLease(job *entry, item uint32, now instant.Micros) {
 	attempt := job.leases[item].Attempt
 	t.dropLease(job, item)
 	if job.spec.NonIdempotent {
@@ -81,29 +81,30 @@
 	t.retryItem(job, item, attempt, now, "the gate that ran the item was lost")
 }
 
-// returnUncounted makes an item available again after an attempt that says
-// nothing of the item.
+// returnUncounted makes an item available again after an attempt that does not
+// count.
 func (t *Table) returnUncounted(job *entry, item uint32, attempt int, now instant.Micros) {
-	if job.overdue(now) {
+	if job.pastGiveUp(now) {
 		t.giveUpItem(job, item, now)
 		return
 	}
-	job.tries[item] = tries{Leases: attempt, Counted: job.tries[item].Counted}
+	job.attempts[item] = attemptCount{Leases: attempt, Counted: job.attempts[item].Counted}
 	t.returnItem(job, item)
 }
 
-// retryItem makes an item available again after an attempt that counts.
+// retryItem makes an item available again after an attempt that counts, or ends
+// it if no attempts are left.
 func (t *Table) retryItem(job *entry, item uint32, attempt int, now instant.Micros, cause string) {
-	counted := job.tries[item].Counted + 1
+	counted := job.attempts[item].Counted + 1
 	if counted >= job.spec.MaxAttempts {
 		t.endItem(job, item, attempt, now, OutcomeFailed, ReasonAttemptsExhausted, fmt.Sprintf("attempt %d of %d: %s", counted, job.spec.MaxAttempts, cause))
 		return
 	}
-	if job.overdue(now) {
+	if job.pastGiveUp(now) {
 		t.giveUpItem(job, item, now)
 		return
 	}
-	job.tries[item] = tries{Leases: attempt, Counted: counted}
+	job.attempts[item] = attemptCount{Leases: attempt, Counted: counted}
 	t.returnItem(job, item)
 }
 
@@ -114,38 +115,40 @@
 
 func (t *Table) dropLease(job *entry, item uint32) {
 	if held, found := job.leases[item]; found {
-		if owner := t.sessions[held.Session]; owner != nil {
-			delete(owner.leases, itemKey{Job: job.id, Item: item})
+		if holder := t.sessions[held.Session]; holder != nil {
+			delete(holder.leases, itemKey{Job: job.id, Item: item})
 		}
 		delete(job.leases, item)
 	}
 }
 
-// Lease gives the session items of the wanted queues, earliest deadline first.
-// A session numbers its requests upwards from 1. Taken tells that this number
-// has got items, now or before; the session goes on to the next one only then.
+// Lease leases items of the requested queues to the session, earliest deadline
+// first. A session numbers its requests from 1. fulfilled reports whether this
+// number has received items, now or before; only then may the session use the
+// next number.
 //
-// A gate that lost the answer resends the request. Leased anew, the items of
-// the first answer would stay with a session that does not know of them, and
-// their jobs would never end; so the same number gets the same items, as far as
-// they are still leased, and a copy that arrives after the answer gets no others.
-func (t *Table) Lease(id SessionID, request uint64, wants []Want, now instant.Micros) (items []Leased, taken bool, refusal *apierr.Error) {
+// A gate that did not receive the answer resends the request. If it got other
+// items, the first ones would stay leased to a session that does not know of
+// them, and their jobs would never end. The same number therefore returns the
+// same items, as far as they are still leased, and a delayed copy of an earlier
+// request returns none.
+func (t *Table) Lease(id SessionID, request uint64, demands []Want, now instant.Micros) (items []Leased, fulfilled bool, refusal *apierr.Error) {
 	holder, found := t.sessions[id]
 	if !found {
 		return nil, false, unknownSession(id)
 	}
-	if holder.taken(request) {
+	if holder.fulfilled(request) {
 		return t.repeatedLease(id, holder, request), true, nil
 	}
-	for _, want := range wants {
-		items = append(items, t.leaseFrom(id, holder, want, t.inOrder(want.Queue, now.Add(t.taken[want.Queue]), request%lateTurn == 0), now)...)
+	for _, demand := range demands {
+		items = append(items, t.leaseFrom(id, holder, demand, t.leaseOrder(demand.Queue, now.Add(t.meanDuration[demand.Queue]), request%overdueInterval == 0), now)...)
 	}
 	holder.last = leaseAnswer{Request: request, Items: items}
 	return items, len(items) > 0, nil
 }
 
-// repeatedLease gives the items of the session's last request, if it is this
-// one, as far as the session still holds them.
+// repeatedLease returns the items of the session's last request, if it has this
+// number, that the session still holds.
 func (t *Table) repeatedLease(id SessionID, holder *session, request uint64) []Leased {
 	if holder.last.Request != request {
 		return nil
@@ -153,43 +156,43 @@
 	var items []Leased
 	for _, item := range holder.last.Items {
 		job := t.jobs[item.Job]
-		if job != nil && job.leases[item.Item].isOf(id, item.Attempt) {
+		if job != nil && job.leases[item.Item].heldBy(id, item.Attempt) {
 			items = append(items, item)
 		}
 	}
 	return items
 }
 
-// Taken reports whether a request of the session has got items before.
+// RequestFulfilled reports whether a request of the session has received items.
 func (t *Table) Taken(id SessionID, request uint64) bool {
 	holder, found := t.sessions[id]
-	return found && holder.taken(request)
+	return found && holder.fulfilled(request)
 }
 
-func (t *Table) leaseFrom(id SessionID, holder *session, want Want, jobs []*entry, now instant.Micros) []Leased {
+func (t *Table) leaseFrom(id SessionID, holder *session, demand Want, jobs []*entry, now instant.Micros) []Leased {
 	var items []Leased
 	for _, job := range jobs {
-		for len(items) < want.Max {
-			item, found := job.takeItem()
+		for len(items) < demand.Max {
+			item, found := job.nextItem()
 			if !found {
 				t.setUnready(job)
 				break
 			}
-			attempt := job.tries[item].Leases + 1
-			job.leases[item] = lease{Session: id, Attempt: attempt, At: now, From: job.partials[item].Reached}
+			attempt := job.attempts[item].Leases + 1
+			job.leases[item] = lease{Session: id, Attempt: attempt, LeasedAt: now, ResumedAfter: job.partials[item].End}
 			holder.leases[itemKey{Job: job.id, Item: item}] = struct{}{}
-			items = append(items, job.leased(item, attempt, t.taken[job.spec.Queue], now))
+			items = append(items, job.leased(item, attempt, t.meanDuration[job.spec.Queue], now))
 		}
-		if len(items) >= want.Max {
+		if len(items) >= demand.Max {
 			break
 		}
 	}
 	return items
 }
 
-// takeItem picks an item that is neither leased nor done: first those never
-// tried, so that an item that keeps failing does not hold up the others.
-func (j *entry) takeItem() (uint32, bool) {
+// nextItem returns an item that is neither leased nor done. Items that were never
+// leased come first, so that an item that keeps failing does not delay the others.
+func (j *entry) nextItem() (uint32, bool) {
 	for j.next < j.items {
 		item := j.next
 		j.next++
@@ -207,8 +210,8 @@
 	return 0, false
 }
 
-func (j *entry) leased(item uint32, attempt int, takes time.Duration, now instant.Micros) Leased {
-	owner := j.partOf(item)
+func (j *entry) leased(item uint32, attempt int, expected time.Duration, now instant.Micros) Leased {
+	source := j.partOf(item)
 	var pieces []Ref
 	if known, found := j.partials[item]; found {
 		pieces = known.pieces()
@@ -222,23 +225,23 @@
 		Class:         j.spec.Class,
 		Deadline:      j.deadline,
 		NonIdempotent: j.spec.NonIdempotent,
-		Part:          owner.Ref,
-		Index:         item - owner.First,
+		Part:          source.Ref,
+		Index:         item - source.First,
 
 		GiveUp:           j.spec.GiveUp,
 		OnlyAnswersCount: j.spec.OnlyAnswersCount,
-		Reached:          j.partials[item].Reached,
+		Reached:          j.partials[item].End,
 		Partial:          pieces,
-		Takes:            takes,
+		Takes:            expected,
 		Owner:            j.spec.Owner,
 		At:               now,
 	}
 }
 
 func (j *entry) partOf(item uint32) part {
-	at, found := slices.BinarySearchFunc(j.parts, item, func(p part, item uint32) int { return cmp.Compare(p.First, item) })
+	index, found := slices.BinarySearchFunc(j.parts, item, func(p part, item uint32) int { return cmp.Compare(p.First, item) })
 	if !found {
-		at--
+		index--
 	}
-	return j.parts[at]
+	return j.parts[index]
 }
--- a/internal/job/pages.go
+++ b/internal/job/pages.go
@@ -6,23 +6,24 @@
 	"slateway.example/slateway/internal/apierr"
 )
 
-// pageItems is the number of items whose result references share a page. A page
-// is in memory only from its first result to its last; then it is written to
-// the storage as one record. A job of 800,000 items thus keeps 782 references.
+// pageItems is the number of consecutive items whose result references share a
+// page. A page is in memory only from its first result to its last; then it is
+// written to the storage as one record. A job of 800,000 items thus needs only
+// 782 references in memory.
 const pageItems = 1024
 
 // page holds the references to the results of pageItems consecutive items.
 type page struct {
-	flushed Ref   // once written
-	refs    []Ref // by item, zero where there is no result; nil before the first
-	done    int   // results in refs
+	flushed Ref   // record of the written page; zero until then
+	refs    []Ref // by item, zero without a result; nil before the first result
+	done    int   // number of results in refs
 }
 
 func newPages(items uint32) []page {
 	return make([]page, (items+pageItems-1)/pageItems)
 }
 
-// pageLength is the number of items of page number p.
+// pageLength returns the number of items of page p.
 func (j *entry) pageLength(p int) int {
 	return min(pageItems, int(j.items)-p*pageItems)
 }
@@ -49,7 +50,7 @@
 	}
 }
 
-// flushPage writes a page that has results and frees its memory.
+// flushPage writes a page with results to the storage and frees its memory.
 func (t *Table) flushPage(job *entry, number int) {
 	p := &job.pages[number]
 	if p.refs == nil {
@@ -85,8 +86,8 @@
 	return refs
 }
 
-// segmentUse counts the records in use by segment; a segment without any can be
-// deleted.
+// segmentUse counts the records in use by segment. A segment without records in
+// use can be deleted.
 type segmentUse map[uint32]uint64
 
 func (u segmentUse) add(ref Ref) { u[ref.Segment]++ }
@@ -101,51 +102,53 @@
 }
 
 func (t *Table) useResult(job *entry, ref Ref) {
-	job.used.add(ref)
-	t.results.add(ref)
+	job.resultSegments.add(ref)
+	t.resultSegments.add(ref)
 }
 
-// PartSegmentInUse reports whether a segment holds parts of open jobs.
-func (t *Table) PartSegmentInUse(segment uint32) bool { return t.bodies[segment] > 0 }
+// PartSegmentInUse reports whether a segment holds parts of jobs that have not
+// ended.
+func (t *Table) PartSegmentInUse(segment uint32) bool { return t.partSegments[segment] > 0 }
 
-// ResultSegmentInUse reports whether a segment holds results of kept jobs.
-func (t *Table) ResultSegmentInUse(segment uint32) bool { return t.results[segment] > 0 }
+// ResultSegmentInUse reports whether a segment holds results of jobs that have
+// not expired.
+func (t *Table) ResultSegmentInUse(segment uint32) bool { return t.resultSegments[segment] > 0 }
 
-// Located is a range of a job's results, in item order.
+// ItemListing is a range of a job's results in item order.
 type Located struct {
 	Refs []Ref
-	Next uint32 // item from which to go on
-	End  bool   // no result will ever follow
+	Next uint32 // item to continue from
+	End  bool   // no more results will follow
 }
 
-// Locate finds the results of a job from an item on, limit at most. Of a running
-// job it gives those before the first item that has none yet, so that Next
-// never passes over an item whose result is still to come.
+// ListByItem returns at most limit results of a job in item order, starting at an
+// item. For a running job it stops at the first item without a result, so that
+// Next never skips an item whose result is still to come.
 func (t *Table) Locate(id ID, from uint32, limit int) (Located, error) {
 	job, refusal := t.find(id)
 	if refusal != nil {
 		return Located{}, refusal
 	}
-	located := Located{Next: from}
+	listing := Located{Next: from}
 	reader := pageReader{storage: t.storage, number: -1}
-	for located.Next < job.items && len(located.Refs) < limit && job.pages != nil {
-		ref, err := reader.ref(job, located.Next)
+	for listing.Next < job.items && len(listing.Refs) < limit && job.pages != nil {
+		ref, err := reader.ref(job, listing.Next)
 		if err != nil {
 			return Located{}, err
 		}
 		if ref == (Ref{}) && !job.state.Ended() {
-			return located, nil
+			return listing, nil
 		}
 		if ref != (Ref{}) {
-			located.Refs = append(located.Refs, ref)
+			listing.Refs = append(listing.Refs, ref)
 		}
-		located.Next++
+		listing.Next++
 	}
-	located.End = job.state.Ended() && (located.Next >= job.items || job.pages == nil)
-	return located, nil
+	listing.End = job.state.Ended() && (listing.Next >= job.items || job.pages == nil)
+	return listing, nil
 }
 
-// pageReader looks references up and keeps the last flushed page it read.
+// pageReader looks up result references and caches the last flushed page.
 type pageReader struct {
 	storage Storage
 	number  int
--- a/internal/job/ready.go
+++ b/internal/job/ready.go
@@ -6,7 +6,7 @@
 	"slateway.example/slateway/internal/instant"
 )
 
-// readyKey orders the jobs of a queue, earliest deadline first.
+// readyKey orders the jobs of a queue by deadline, then by creation.
 type readyKey struct {
 	deadline instant.Micros
 	sequence uint64
@@ -20,36 +20,38 @@
 	return k.sequence < other.sequence
 }
 
-// lateTurn is the share of lease requests that serve late jobs first: one in 8.
-const lateTurn = 8
+// overdueInterval makes every eighth lease request of a session serve overdue
+// jobs first.
+const overdueInterval = 8
 
-// inOrder gives the jobs of a queue that have items to lease: earliest deadline
-// first, those last whose items cannot be done before their deadline, which is
-// the soonest that an item leased now can be, so that one job that is late
-// anyhow does not make the others late too. With lateFirst it is the other way
-// round: under lasting load a late job would otherwise never end.
-func (t *Table) inOrder(queue Queue, soonest instant.Micros, lateFirst bool) []*entry {
-	var due, late []*entry
+// leaseOrder returns the jobs of a queue that have items to lease, earliest
+// deadline first. Overdue jobs, whose deadline is not after earliestEnd, the
+// expected end of an item leased now, come last, so that they do not delay the
+// others past their deadlines. With overdueFirst they come first; otherwise an
+// overdue job would never end under sustained load.
+func (t *Table) leaseOrder(queue Queue, earliestEnd instant.Micros, overdueFirst bool) []*entry {
+	var due, overdue []*entry
 	tree := t.ready[queue]
 	if tree == nil {
 		return nil
 	}
-	from := readyKey{deadline: soonest + 1}
+	from := readyKey{deadline: earliestEnd + 1}
 	tree.AscendGreaterOrEqual(from, func(key readyKey) bool {
 		due = append(due, key.job)
 		return len(due) < maxJobsPerLease
 	})
 	tree.AscendLessThan(from, func(key readyKey) bool {
-		late = append(late, key.job)
-		return len(late) < maxJobsPerLease
+		overdue = append(overdue, key.job)
+		return len(overdue) < maxJobsPerLease
 	})
-	if lateFirst {
-		return append(late, due...)
+	if overdueFirst {
+		return append(overdue, due...)
 	}
-	return append(due, late...)
+	return append(due, overdue...)
 }
 
-// maxJobsPerLease bounds how many jobs one lease request looks at.
+// maxJobsPerLease limits how many jobs of each kind, due and overdue, one lease
+// request considers per queue.
 const maxJobsPerLease = 256
 
 // Ready counts the items of a queue that can be leased now, up to limit.
@@ -66,10 +68,10 @@
 	return min(count, limit)
 }
 
-// HasWork reports whether Lease would find an item for one of the wants.
-func (t *Table) HasWork(wants []Want) bool {
-	for _, want := range wants {
-		if tree := t.ready[want.Queue]; want.Max > 0 && tree != nil && tree.Len() > 0 {
+// HasWork reports whether Lease would find an item for one of the demands.
+func (t *Table) HasWork(demands []Want) bool {
+	for _, demand := range demands {
+		if tree := t.ready[demand.Queue]; demand.Max > 0 && tree != nil && tree.Len() > 0 {
 			return true
 		}
 	}
--- a/internal/job/session.go
+++ b/internal/job/session.go
@@ -7,54 +7,55 @@
 	"slateway.example/slateway/internal/instant"
 )
 
-// session is a gate that leases items. All its leases share its lifetime: the
-// gate renews one session in place of thousands of items.
+// session is the session of a gate that leases items. Its leases share its
+// lifetime, so that the gate renews one session instead of thousands of leases.
 type session struct {
-	by     Run
+	run    Run
 	leases map[itemKey]struct{}
 	last   leaseAnswer
 }
 
-// leaseAnswer is the last answer of a session to a lease request.
+// leaseAnswer is the last answer to a lease request of a session.
 type leaseAnswer struct {
 	Request uint64   `cbor:"1,keyasint"`
 	Items   []Leased `cbor:"2,keyasint,omitempty"`
 }
 
-// Run names one run of a gate's process.
+// GateRun identifies one run of a gate's process.
 type Run struct {
 	VM string `cbor:"1,keyasint"`
-	// Started is the Unix millisecond of the process's start; 0: not known.
+	// Started is the start of the process in Unix milliseconds; 0 means unknown.
 	Started int64 `cbor:"2,keyasint,omitempty"`
 }
 
-// replaces says whether the earlier run has ended, since a VM has one gate.
+// replaces reports whether r is a later run of the same gate, so that the earlier
+// run must have ended. A VM runs a single gate.
 func (r Run) replaces(earlier Run) bool {
 	return r.VM != "" && r.VM == earlier.VM && earlier.Started > 0 && r.Started > earlier.Started
 }
 
-// OpenSession registers the session of a gate's run; a resend changes nothing.
+// OpenSession registers the session of a gate's run. It is idempotent.
 func (t *Table) OpenSession(id SessionID, by Run) {
 	if _, found := t.sessions[id]; !found {
-		t.sessions[id] = &session{by: by, leases: make(map[itemKey]struct{})}
+		t.sessions[id] = &session{run: by, leases: make(map[itemKey]struct{})}
 	}
 }
 
-// Replaced lists the sessions of earlier runs of the same gate. Their items wait
-// for a process that is gone: left to their lifetime, they would lie for seconds
-// after a restart, beside idle replicas. Should the VM's clock have been set
-// back, nothing is listed and the lifetime decides.
+// ReplacedSessions returns the sessions of earlier runs of the same gate. Their
+// items are leased to a process that no longer exists; until the sessions expire,
+// seconds after a restart, the items would wait while replicas are idle. If the
+// VM's clock was set back, the result is empty and the sessions expire normally.
 func (t *Table) Replaced(by Run) []SessionID {
 	var replaced []SessionID
 	for _, id := range sortedKeys(t.sessions) {
-		if by.replaces(t.sessions[id].by) {
+		if by.replaces(t.sessions[id].run) {
 			replaced = append(replaced, id)
 		}
 	}
 	return replaced
 }
 
-// Sessions lists the open sessions in order.
+// Sessions returns the IDs of the open sessions in order.
 func (t *Table) Sessions() []SessionID { return sortedKeys(t.sessions) }
 
 // HasSession reports whether a session is open.
@@ -63,8 +64,8 @@
 	return found
 }
 
-// EndSession ends a session whose gate is lost or has left: its items can be
-// leased again, as far as they may run again.
+// EndSession ends a session whose gate is lost or has left. Its items can be
+// leased again, unless they must not run twice.
 func (t *Table) EndSession(id SessionID, now instant.Micros) {
 	ended, found := t.sessions[id]
 	if !found {
@@ -76,13 +77,13 @@
 	}
 	slices.SortFunc(keys, compareItems)
 	for _, key := range keys {
-		t.loseItem(t.jobs[key.Job], key.Item, now)
+		t.endLostLease(t.jobs[key.Job], key.Item, now)
 	}
 	delete(t.sessions, id)
 }
 
-// taken reports whether a request of this number has got items.
-func (s *session) taken(request uint64) bool {
+// fulfilled reports whether the request with this number has received items.
+func (s *session) fulfilled(request uint64) bool {
 	return request < s.last.Request || request == s.last.Request && len(s.last.Items) > 0
 }
 
@@ -90,8 +91,8 @@
 	return apierr.New(apierr.NotFound, ReasonUnknownSession, "open a new session", "session %q is not open", string(id))
 }
 
-// EndedAmong gives those of the jobs that are cancelled, completed or unknown:
-// a gate that runs items of them stops.
+// FilterEnded returns the jobs among ids that are cancelled, completed or unknown.
+// A gate that runs items of these jobs stops them.
 func (t *Table) EndedAmong(ids []ID) []ID {
 	var ended []ID
 	for _, id := range ids {
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -7,22 +7,21 @@
 	"slateway.example/slateway/internal/instant"
 )
 
-// Submission is a whole job that is handed in with one command.
+// Submission is a complete job that is created with one command.
 type Submission struct {
 	Spec   Spec     `cbor:"1,keyasint"`
 	Tokens []uint32 `cbor:"2,keyasint"` // by item
 	Items  []byte   `cbor:"3,keyasint"` // encoded []Item
-	// Quota is how many tokens of the job's owner may wait in the queue with those of
-	// this job; zero sets no bound.
+	// Quota is the maximum number of tokens that may wait in the queue for the job's
+	// owner, including this job; zero means no limit.
 	Quota uint64 `cbor:"4,keyasint,omitempty"`
-	// GiveUpAfter is the time from the acceptance after which items that have no result
-	// end without one, by the keepers' clock; zero: as the Spec says.
+	// GiveUpAfter is the time after acceptance at which items without a result end
+	// as failed, by the keepers' clock; zero means that Spec.GiveUpAt applies.
 	GiveUpAfter time.Duration `cbor:"5,keyasint,omitempty"`
 }
 
-// Submit accepts a whole job at once, or nothing of it. A job that was accepted
-// before is accepted again, whatever has become of it: its client has lost the
-// answer.
+// Submit accepts a complete job atomically. A job that was accepted before is
+// accepted again in any state, since its client did not receive the answer.
 func (t *Table) Submit(s *Submission, now instant.Micros) (Status, *apierr.Error) {
 	if known, refusal := t.find(NewID(s.Spec.Team, s.Spec.Key)); refusal == nil {
 		return known.status(), nil
@@ -52,22 +51,22 @@
 }
 
 func (t *Table) checkQuota(s *Submission) *apierr.Error {
-	asked := sum(s.Tokens)
-	waiting := t.waiting[s.Spec.account()]
-	if s.Quota == 0 || waiting+asked <= s.Quota {
+	requested := sum(s.Tokens)
+	waiting := t.pendingTokens[s.Spec.quotaKey()]
+	if s.Quota == 0 || waiting+requested <= s.Quota {
 		return nil
 	}
-	return apierr.New(apierr.Overloaded, ReasonQueueFull, "come back when results have arrived, or ask the operator for a larger quota",
-		"%d tokens wait for %s, %d more would exceed the quota of %d", waiting, s.Spec.Queue.Service, asked, s.Quota)
+	return apierr.New(apierr.Overloaded, ReasonQueueFull, "retry after some of the results have arrived, or ask the operator for a larger quota",
+		"%d tokens are waiting for %s; %d more would exceed the quota of %d", waiting, s.Spec.Queue.Service, requested, s.Quota)
 }
 
-// account names whose waiting tokens count together.
-type account struct {
+// quotaKey identifies the queue and owner whose waiting tokens share a quota.
+type quotaKey struct {
 	queue Queue
 	owner string
 }
 
-func (s *Spec) account() account { return account{queue: s.Queue, owner: s.Owner} }
+func (s *Spec) quotaKey() quotaKey { return quotaKey{queue: s.Queue, owner: s.Owner} }
 
 func sum(tokens []uint32) uint64 {
 	total := uint64(0)
@@ -77,43 +76,43 @@
 	return total
 }
 
-// schedule makes a job that begins to run count against its owner's quota and
-// notes when its items are given up.
-func (t *Table) schedule(job *entry) {
+// trackRunning counts the tokens of a job that starts to run against its owner's
+// quota and schedules the give-up time of its items.
+func (t *Table) trackRunning(job *entry) {
 	if job.spec.GiveUp != 0 {
 		t.giveUps.ReplaceOrInsert(job.giveUpKey())
 	}
 	for item, count := range job.tokens {
 		if !job.done(uint32(item)) {
-			t.waiting[job.spec.account()] += uint64(count)
+			t.pendingTokens[job.spec.quotaKey()] += uint64(count)
 		}
 	}
 }
 
-// unschedule takes back what schedule noted of a job that ends.
-func (t *Table) unschedule(job *entry) {
+// untrackRunning reverts trackRunning for a job that ends.
+func (t *Table) untrackRunning(job *entry) {
 	t.giveUps.Delete(job.giveUpKey())
 	for item, count := range job.tokens {
 		if !job.done(uint32(item)) {
-			t.addWaiting(job.spec.account(), -int64(count))
+			t.addPendingTokens(job.spec.quotaKey(), -int64(count))
 		}
 	}
 }
 
-// freeTokens takes an item that has its result out of the quota.
-func (t *Table) freeTokens(job *entry, item uint32) {
+// releaseTokens removes the tokens of an item with a result from the quota.
+func (t *Table) releaseTokens(job *entry, item uint32) {
 	if int(item) < len(job.tokens) {
-		t.addWaiting(job.spec.account(), -int64(job.tokens[item]))
+		t.addPendingTokens(job.spec.quotaKey(), -int64(job.tokens[item]))
 	}
 }
 
-func (t *Table) addWaiting(of account, count int64) {
-	left := int64(t.waiting[of]) + count
-	if left <= 0 {
-		delete(t.waiting, of)
+func (t *Table) addPendingTokens(key quotaKey, count int64) {
+	total := int64(t.pendingTokens[key]) + count
+	if total <= 0 {
+		delete(t.pendingTokens, key)
 		return
 	}
-	t.waiting[of] = uint64(left)
+	t.pendingTokens[key] = uint64(total)
 }
 
 func (j *entry) giveUpKey() expiryKey {
@@ -121,27 +120,27 @@
 	return expiryKey{at: j.spec.GiveUp, key: key}
 }
 
-func (j *entry) overdue(now instant.Micros) bool {
+func (j *entry) pastGiveUp(now instant.Micros) bool {
 	return j.spec.GiveUp != 0 && now >= j.spec.GiveUp
 }
 
-// giveUpOverdue ends the waiting items of the jobs whose time is over. Items
-// that run end when their gate reports them.
-func (t *Table) giveUpOverdue(now instant.Micros) {
+// giveUpDueJobs ends the waiting items of the jobs whose give-up time has passed.
+// Leased items end when their gate reports them.
+func (t *Table) giveUpDueJobs(now instant.Micros) {
 	for {
 		next, found := t.giveUps.Min()
 		if !found || next.at > now {
 			return
 		}
 		t.giveUps.DeleteMin()
-		t.giveUpWaiting(t.jobs[next.key.id()], now)
+		t.giveUpWaitingItems(t.jobs[next.key.id()], now)
 	}
 }
 
-func (t *Table) giveUpWaiting(job *entry, now instant.Micros) {
+func (t *Table) giveUpWaitingItems(job *entry, now instant.Micros) {
 	t.setUnready(job)
 	for job.state == StateRunning {
-		item, found := job.takeItem()
+		item, found := job.nextItem()
 		if !found {
 			return
 		}
@@ -150,19 +149,19 @@
 }
 
 func (t *Table) giveUpItem(job *entry, item uint32, now instant.Micros) {
-	t.endItem(job, item, job.tries[item].Leases, now, OutcomeFailed, ReasonGivenUp, "its time was over before it had a result")
+	t.endItem(job, item, job.attempts[item].Leases, now, OutcomeFailed, ReasonGivenUp, "its time was over before it had a result")
 }
 
-// Listing is a range of a job's results in the order in which they were made.
+// CompletionListing is a range of a job's results in the order of completion.
 type Listing struct {
-	Items uint32 // of the job
+	Items uint32 // total number of items of the job
 	Refs  []Ref
-	Next  uint32 // position from which to go on
-	Ended bool   // no result will follow
+	Next  uint32 // position to continue from
+	Ended bool   // no more results will follow
 }
 
-// ListFrom gives the results from a position on, limit at most. A result keeps
-// its position for as long as the job is kept.
+// ListByCompletion returns at most limit results, starting at a position in the
+// order of completion. A result keeps its position until the job is deleted.
 func (t *Table) ListFrom(id ID, position uint32, limit int) (Listing, error) {
 	job, refusal := t.find(id)
 	if refusal != nil {
@@ -181,7 +180,7 @@
 	return listing, nil
 }
 
-// Bodies gives where the items of a running job lie.
+// PartRefs returns the references of the parts of a job that has not ended.
 func (t *Table) Bodies(id ID) ([]Ref, *apierr.Error) {
 	job, refusal := t.find(id)
 	if refusal != nil {
--- a/internal/job/table.go
+++ b/internal/job/table.go
@@ -14,50 +14,52 @@
 
 // Table holds the jobs of one group.
 type Table struct {
-	storage  Storage
-	jobs     map[ID]*entry // that have not ended
-	ended    endedJobs
-	uploads  *btree.BTreeG[expiryKey]          // open jobs, by when they are given up
-	ready    map[Queue]*btree.BTreeG[readyKey] // jobs that have an item to lease
-	sessions map[SessionID]*session
-	dropped  Dropped
-	created  uint64 // jobs so far, orders jobs of equal deadlines
-	bodies   segmentUse
-	results  segmentUse
-	giveUps  *btree.BTreeG[expiryKey] // running jobs, by when their items are given up
-	waiting  map[account]uint64       // tokens of the items without a result
-
-	// taken is how long an item takes from its lease to its end, a mean by queue.
-	// The keepers keep it, as gates forget it when they start, which is when much
-	// work waits.
-	taken map[Queue]time.Duration
-
-	lastPart  Ref // that customID read; no part of the state
-	lastItems []Item
+	storage        Storage
+	jobs           map[ID]*entry // jobs that have not ended
+	ended          endedJobs
+	uploadExpiry   *btree.BTreeG[expiryKey]          // open jobs by upload expiry
+	ready          map[Queue]*btree.BTreeG[readyKey] // jobs with items to lease
+	sessions       map[SessionID]*session
+	dropped        Dropped
+	created        uint64 // jobs created so far; orders jobs with equal deadlines
+	partSegments   segmentUse
+	resultSegments segmentUse
+	giveUps        *btree.BTreeG[expiryKey] // running jobs by give-up time
+	pendingTokens  map[quotaKey]uint64      // tokens of the items without a result
+
+	// meanDuration is the mean time from an item's lease to its end, by queue.
+	// Keepers store it because gates lose it at a restart, which is when much work
+	// is waiting.
+	meanDuration map[Queue]time.Duration
+
+	// cachedPart is the part that customID read last. The cache is not part of the
+	// replicated state.
+	cachedPart  Ref
+	cachedItems []Item
 }
 
-// entry is one job.
+// entry is the state of one job.
 type entry struct {
 	id       ID
 	spec     Spec
 	state    State
-	sequence uint64 // order of creation
+	sequence uint64 // position in the order of creation
 	created  instant.Micros
 	deadline instant.Micros
 	finished instant.Micros
 	items    uint32
-	parts    []part // by number; Count 0 where one is missing
-	received int    // parts
-
-	next     uint32           // first item that was never leased
-	returned []uint32         // items to lease again
-	tries    map[uint32]tries // of items that were leased and came back
-	leases   map[uint32]lease // running items
-	partials map[uint32]partial
-	pages    []page
-	used     segmentUse // result segments
-	tokens   []uint32   // by item, of a submitted job
-	order    []uint32   // items with a result, in the order of their results
+	parts    []part // by number; Count is 0 if a part is missing
+	received int    // number of parts received
+
+	next           uint32                  // first item that was never leased
+	returned       []uint32                // items to lease again
+	attempts       map[uint32]attemptCount // by item, for items that were leased and returned
+	leases         map[uint32]lease        // by item
+	partials       map[uint32]partial
+	pages          []page
+	resultSegments segmentUse // records in use by result segment
+	tokens         []uint32   // by item; only for submitted jobs
+	order          []uint32   // items in the order of their results
 
 	succeeded, failed, unknown uint32
 }
@@ -66,58 +68,58 @@
 type part struct {
 	Digest uint64 `cbor:"1,keyasint"`
 	Count  uint32 `cbor:"2,keyasint"`
-	First  uint32 `cbor:"3,keyasint"` // index of its first item; set when the job is sealed
+	First  uint32 `cbor:"3,keyasint"` // index of the part's first item; set when the job is sealed
 	Ref    Ref    `cbor:"4,keyasint"`
 }
 
-// tries counts the leases of an item.
-type tries struct {
-	Leases  int `cbor:"1,keyasint"` // all of them
-	Counted int `cbor:"2,keyasint"` // without those that were returned
+// attemptCount counts the attempts at an item.
+type attemptCount struct {
+	Leases  int `cbor:"1,keyasint"` // all leases
+	Counted int `cbor:"2,keyasint"` // leases without those that were returned
 }
 
-// partial is what the attempts at an item have made of its answer.
+// partial locates the partial answer of an item.
 type partial struct {
-	Reached int   `cbor:"1,keyasint"`
-	Ref     Ref   `cbor:"2,keyasint"`           // its first piece
-	More    []Ref `cbor:"3,keyasint,omitempty"` // the pieces after it, in order
+	End  int   `cbor:"1,keyasint"`           // last event or token of the partial answer
+	Ref  Ref   `cbor:"2,keyasint"`           // first piece
+	More []Ref `cbor:"3,keyasint,omitempty"` // further pieces, in order
 }
 
-// pieces locates the text in order.
+// pieces returns the references of all pieces in order.
 func (p *partial) pieces() []Ref { return append([]Ref{p.Ref}, p.More...) }
 
 type lease struct {
-	Session SessionID      `cbor:"1,keyasint"`
-	Attempt int            `cbor:"2,keyasint"`
-	At      instant.Micros `cbor:"3,keyasint,omitempty"`
-	From    int            `cbor:"4,keyasint,omitempty"` // event that the attempt goes on after
+	Session      SessionID      `cbor:"1,keyasint"`
+	Attempt      int            `cbor:"2,keyasint"`
+	LeasedAt     instant.Micros `cbor:"3,keyasint,omitempty"`
+	ResumedAfter int            `cbor:"4,keyasint,omitempty"` // event or token that the attempt resumes after
 }
 
-func (l lease) isOf(session SessionID, attempt int) bool {
+func (l lease) heldBy(session SessionID, attempt int) bool {
 	return l.Session == session && l.Attempt == attempt
 }
 
 const btreeDegree = 16
 
-// NewTable makes an empty table that keeps its records in storage.
+// NewTable creates an empty table that keeps its records in storage.
 func NewTable(storage Storage) *Table {
 	return &Table{
-		storage:  storage,
-		jobs:     make(map[ID]*entry),
-		ready:    make(map[Queue]*btree.BTreeG[readyKey]),
-		ended:    newEndedJobs(),
-		uploads:  btree.NewG(btreeDegree, expiryKey.less),
-		sessions: make(map[SessionID]*session),
-		bodies:   make(segmentUse),
-		results:  make(segmentUse),
-		giveUps:  btree.NewG(btreeDegree, expiryKey.less),
-		waiting:  make(map[account]uint64),
-		taken:    make(map[Queue]time.Duration),
+		storage:        storage,
+		jobs:           make(map[ID]*entry),
+		ready:          make(map[Queue]*btree.BTreeG[readyKey]),
+		ended:          newEndedJobs(),
+		uploadExpiry:   btree.NewG(btreeDegree, expiryKey.less),
+		sessions:       make(map[SessionID]*session),
+		partSegments:   make(segmentUse),
+		resultSegments: make(segmentUse),
+		giveUps:        btree.NewG(btreeDegree, expiryKey.less),
+		pendingTokens:  make(map[quotaKey]uint64),
+		meanDuration:   make(map[Queue]time.Duration),
 	}
 }
 
-// Create makes a job. Resent with the same content it answers as the first
-// time; other content under the same key is a conflict.
+// Create creates a job. A resent creation with the same content returns the
+// existing job; other content under the same key is a conflict.
 func (t *Table) Create(spec Spec, now instant.Micros) (Status, *apierr.Error) {
 	id := NewID(spec.Team, spec.Key)
 	if existing, refusal := t.find(id); refusal == nil {
@@ -128,37 +130,38 @@
 		return existing.status(), nil
 	}
 	if spec.Team == "" || spec.Key == "" || spec.MaxAttempts < 1 {
-		return Status{}, apierr.New(apierr.Invalid, ReasonInvalidJob, "give team, job key and at least one attempt", "the job is incomplete")
+		return Status{}, apierr.New(apierr.Invalid, ReasonInvalidJob, "set the team, the job key and at least one attempt", "the job has no team, key or attempts")
 	}
 	t.created++
 	job := &entry{
-		id:       id,
-		spec:     spec,
-		state:    StateOpen,
-		sequence: t.created,
-		created:  now,
-		deadline: spec.Deadline,
-		tries:    make(map[uint32]tries),
-		leases:   make(map[uint32]lease),
-		used:     make(segmentUse),
+		id:             id,
+		spec:           spec,
+		state:          StateOpen,
+		sequence:       t.created,
+		created:        now,
+		deadline:       spec.Deadline,
+		attempts:       make(map[uint32]attemptCount),
+		leases:         make(map[uint32]lease),
+		resultSegments: make(segmentUse),
 	}
 	if job.deadline == 0 {
 		job.deadline = now.Add(spec.Within)
 	}
 	t.jobs[id] = job
-	t.uploads.ReplaceOrInsert(job.uploadKey())
+	t.uploadExpiry.ReplaceOrInsert(job.uploadExpiryKey())
 	return job.status(), nil
 }
 
-// uploadKey orders an open job by when its upload is given up. A client that is
-// lost during its upload would otherwise leave the job behind for ever.
-func (j *entry) uploadKey() expiryKey {
+// uploadExpiryKey orders an open job by the expiry of its upload. Without this
+// expiry a client that is lost during its upload would leave the job behind
+// forever.
+func (j *entry) uploadExpiryKey() expiryKey {
 	key, _ := j.id.key()
 	return expiryKey{at: j.created.Add(j.spec.Retention), key: key}
 }
 
-// AddPart stores the items of part number of an open job. A part sent twice is
-// stored once; different items under the same number are a conflict. Data is
+// AddPart stores the part with the given number of an open job. A part sent twice
+// is stored once; different items under the same number are a conflict. Data is
 // the encoding of count items.
 func (t *Table) AddPart(id ID, number int, count uint32, data []byte) (Status, *apierr.Error) {
 	job, refusal := t.find(id)
@@ -176,7 +179,7 @@
 		job.parts = append(job.parts, make([]part, number+1-len(job.parts))...)
 	}
 	ref := t.storage.AppendPart(data)
-	t.bodies.add(ref)
+	t.partSegments.add(ref)
 	job.parts[number] = part{Digest: digest, Count: count, Ref: ref}
 	job.received++
 	job.items += count
@@ -200,7 +203,7 @@
 	case number < 0 || number >= MaxParts:
 		return apierr.New(apierr.Invalid, ReasonInvalidPart, "number parts from 0", "part number %d is not in the range 0 to %d", number, MaxParts-1)
 	case count == 0 || count > MaxPartItems:
-		return apierr.New(apierr.Invalid, ReasonInvalidPart, "split the items into other parts", "a part holds 1 to %d items, not %d", MaxPartItems, count)
+		return apierr.New(apierr.Invalid, ReasonInvalidPart, "split the items into several parts", "a part holds 1 to %d items, not %d", MaxPartItems, count)
 	case len(data) > MaxPartBytes:
 		return apierr.New(apierr.TooLarge, ReasonInvalidPart, "send smaller parts", "a part holds at most %d bytes, not %d", MaxPartBytes, len(data))
 	case j.items+count > MaxItems:
@@ -214,8 +217,8 @@
 	return apierr.New(apierr.Conflict, ReasonJobEnded, "create another job", "job %s is %s", j.id, j.state)
 }
 
-// Seal ends the upload of a job that has parts 0 to parts-1. From then on its
-// items are leased.
+// Seal ends the upload of a job with parts 0 to parts-1 and makes its items
+// available for leases.
 func (t *Table) Seal(id ID, parts int, now instant.Micros) (Status, *apierr.Error) {
 	job, refusal := t.find(id)
 	if refusal != nil {
@@ -235,14 +238,14 @@
 		job.parts[i].First = first
 		first += job.parts[i].Count
 	}
-	t.uploads.Delete(job.uploadKey())
+	t.uploadExpiry.Delete(job.uploadExpiryKey())
 	job.state = StateRunning
 	job.pages = newPages(job.items)
 	if job.items == 0 {
 		t.end(job, StateCompleted, now)
 		return job.status(), nil
 	}
-	t.schedule(job)
+	t.trackRunning(job)
 	t.setReady(job)
 	return job.status(), nil
 }
@@ -256,8 +259,8 @@
 	return apierr.New(apierr.Conflict, ReasonPartsMissing, "seal with the number of parts sent", "job %s has %d parts, not %d", j.id, j.received, parts)
 }
 
-// Cancel ends a job. Its leases end at once and later results are dropped; the
-// results that it has stay readable.
+// Cancel ends a job. Its leases end immediately and later results are dropped;
+// the existing results stay readable.
 func (t *Table) Cancel(id ID, now instant.Micros) (Status, *apierr.Error) {
 	job, refusal := t.find(id)
 	if refusal != nil {
@@ -272,26 +275,27 @@
 	return job.status(), nil
 }
 
-// end moves a job to a final state and frees what only a running job needs.
+// end moves a job to a final state and frees the data that only a running job
+// needs.
 func (t *Table) end(job *entry, state State, now instant.Micros) {
 	for _, item := range sortedKeys(job.leases) {
 		t.dropLease(job, item)
 	}
 	t.setUnready(job)
-	t.uploads.Delete(job.uploadKey())
-	t.unschedule(job)
+	t.uploadExpiry.Delete(job.uploadExpiryKey())
+	t.untrackRunning(job)
 	for i := range job.pages {
 		t.flushPage(job, i)
 	}
 	for i := range job.parts {
-		t.bodies.remove(job.parts[i].Ref)
+		t.partSegments.remove(job.parts[i].Ref)
 	}
 	job.state = state
 	job.finished = now
-	job.returned, job.tries, job.leases, job.tokens, job.partials = nil, nil, nil, nil, nil
-	// A client that lost its answers sends the whole job again. The digests of a
-	// completed job's parts stay, so that it finds what it sent instead of a
-	// conflict; a cancelled job refuses all parts.
+	job.returned, job.attempts, job.leases, job.tokens, job.partials = nil, nil, nil, nil, nil
+	// A client that did not receive the answers sends the whole job again. The
+	// digests of a completed job's parts are kept, so that resent parts are
+	// recognised instead of refused. A cancelled job refuses all parts.
 	if state == StateCancelled {
 		job.parts = nil
 	}
@@ -305,7 +309,7 @@
 	return j.finished.Add(j.spec.Retention)
 }
 
-// Status gives the status of a job.
+// Status returns the status of a job.
 func (t *Table) Status(id ID) (Status, *apierr.Error) {
 	job, refusal := t.find(id)
 	if refusal != nil {
@@ -314,7 +318,7 @@
 	return job.status(), nil
 }
 
-// List gives the jobs of a team, newest first.
+// List returns the jobs of a team, newest first.
 func (t *Table) List(team string) []Status {
 	var list []Status
 	for _, job := range t.jobs {
@@ -322,8 +326,8 @@
 			list = append(list, job.status())
 		}
 	}
-	for _, ref := range t.ended.ofTeam(team) {
-		list = append(list, t.load(ref).status())
+	for _, ref := range t.ended.recordsOfTeam(team) {
+		list = append(list, t.loadEnded(ref).status())
 	}
 	slices.SortFunc(list, func(a, b Status) int {
 		return cmp.Or(cmp.Compare(b.Created, a.Created), cmp.Compare(a.ID, b.ID))
@@ -331,20 +335,20 @@
 	return list
 }
 
-// Counts says how much a table holds.
+// Counts holds the sizes of a table.
 type Counts struct {
 	Open     int // jobs that have not ended
-	Ended    int // jobs whose results are kept
+	Ended    int // ended jobs that have not expired
 	Sessions int
 	Dropped  Dropped
 }
 
-// Counts gives the sizes of the table.
+// Counts returns the sizes of the table.
 func (t *Table) Counts() Counts {
 	return Counts{Open: len(t.jobs), Ended: len(t.ended.byKey), Sessions: len(t.sessions), Dropped: t.dropped}
 }
 
-// Add gives the counts of two tables together.
+// Add returns the sum of the counts of two tables.
 func (c Counts) Add(other Counts) Counts {
 	c.Open += other.Open
 	c.Ended += other.Ended
@@ -356,14 +360,13 @@
 	return c
 }
 
-// find gives a job; an ended one is read from the storage and must not be
-// changed.
+// find returns a job. An ended job is read from storage and must not be modified.
 func (t *Table) find(id ID) (*entry, *apierr.Error) {
 	if job, found := t.jobs[id]; found {
 		return job, nil
 	}
 	if ended, found := t.ended.find(id); found {
-		return t.load(ended.record), nil
+		return t.loadEnded(ended.record), nil
 	}
 	return nil, apierr.New(apierr.NotFound, ReasonUnknownJob, "check the ID; results are deleted when their retention is over", "there is no job %q", string(id))
 }
--- a/internal/job/types.go
+++ b/internal/job/types.go
@@ -10,15 +10,15 @@
 	"slateway.example/slateway/internal/instant"
 )
 
-// Bounds of jobs.
+// Limits of jobs.
 const (
-	MaxItems     = 1_000_000 // of a job
-	MaxPartItems = 10_000    // of a part
-	MaxParts     = 20_000    // of a job
-	MaxPartBytes = 4 << 20   // of a part's encoded items
+	MaxItems     = 1_000_000 // items per job
+	MaxPartItems = 10_000    // items per part
+	MaxParts     = 20_000    // parts per job
+	MaxPartBytes = 4 << 20   // encoded size of a part's items
 )
 
-// Reasons of refused commands and of items that ended without an answer.
+// Reasons for refused commands and for items that ended without an answer.
 const (
 	ReasonUnknownJob        apierr.Reason = "unknown_job"
 	ReasonJobConflict       apierr.Reason = "job_key_conflict"
@@ -31,25 +31,25 @@
 	ReasonUnknownSession    apierr.Reason = "unknown_session"
 	ReasonAttemptsExhausted apierr.Reason = "attempts_exhausted"
 	ReasonOutcomeUnknown    apierr.Reason = "outcome_unknown"
-	ReasonGivenUp           apierr.Reason = "given_up" // its time was over before it had a result
+	ReasonGivenUp           apierr.Reason = "given_up" // no result before the job's give-up time
 	ReasonUnknownItem       apierr.Reason = "unknown_item"
-	ReasonQueueFull         apierr.Reason = "job_quota_exceeded" // the queue holds too many tokens
+	ReasonQueueFull         apierr.Reason = "job_quota_exceeded" // the queue holds too many tokens of the owner
 )
 
-// ID names a job. It follows from team and job key, so that a resent creation
-// reaches the same job through any gate and keeper.
+// ID identifies a job. It is derived from team and job key, so that a resent
+// creation reaches the same job through any gate and keeper.
 type ID string
 
-// NewID gives the ID of the team's job with this key.
+// NewID returns the ID of the team's job with this key.
 func NewID(team, key string) ID {
 	sum := sha256.Sum256([]byte(team + "\x00" + key))
 	return ID(idPrefix + hex.EncodeToString(sum[:16]))
 }
 
-// SessionID names one run of a gate; its leases end with it.
+// SessionID identifies a gate's session; the session's leases end with it.
 type SessionID string
 
-// Queue names what the items of a job run on.
+// Queue identifies the service, model and version that a job's items run on.
 type Queue struct {
 	Service string `cbor:"1,keyasint"`
 	Model   string `cbor:"2,keyasint,omitempty"`
@@ -60,53 +60,55 @@
 	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Model, b.Model), cmp.Compare(a.Version, b.Version))
 }
 
-// Spec is what the creator of a job states about it.
+// Spec is the specification of a job, set at its creation.
 type Spec struct {
 	Team          string         `cbor:"1,keyasint"`
 	Key           string         `cbor:"2,keyasint"`
 	Queue         Queue          `cbor:"3,keyasint"`
-	Class         string         `cbor:"4,keyasint,omitempty"` // batch policy by which the gates run it
-	Deadline      instant.Micros `cbor:"5,keyasint,omitempty"` // zero: Within after creation
+	Class         string         `cbor:"4,keyasint,omitempty"` // batch policy that gates apply
+	Deadline      instant.Micros `cbor:"5,keyasint,omitempty"` // zero: creation time plus Within
 	NonIdempotent bool           `cbor:"6,keyasint,omitempty"` // each item runs at most once
 
-	// The team's policy at creation; not compared when the creation is resent.
+	// The team's policy at creation; ignored when a resent creation is compared.
 	Within      time.Duration `cbor:"7,keyasint,omitempty"`
 	MaxAttempts int           `cbor:"8,keyasint"`
 	Retention   time.Duration `cbor:"9,keyasint"`
 
-	// GiveUp is when items that have no result end without one; zero: never.
+	// GiveUpAt is the time at which items without a result end as failed; zero
+	// means never.
 	GiveUp instant.Micros `cbor:"10,keyasint,omitempty"`
-	// OnlyAnswersCount: an attempt counts only if an upstream answered that it
-	// failed. The loss of a gate or of a connection says nothing of the item.
+	// CountOnlyAnswered makes an attempt count only if an upstream answered that
+	// it failed. The loss of a gate or connection is no evidence about the item.
 	OnlyAnswersCount bool `cbor:"11,keyasint,omitempty"`
-	// Owner is the customer whose waiting tokens the job's count with; jobs without
-	// one count together.
+	// Owner is the customer whose quota the job's tokens count against; jobs
+	// without an owner share one quota.
 	Owner string `cbor:"12,keyasint,omitempty"`
 }
 
-// sameContent tells a resent creation from another job under the same key.
+// sameContent reports whether other is a resent creation of the same job, rather
+// than a different job under the same key.
 func (s *Spec) sameContent(other *Spec) bool {
 	return s.Queue == other.Queue && s.Class == other.Class &&
 		s.Deadline == other.Deadline && s.NonIdempotent == other.NonIdempotent
 }
 
-// Item is one request of a batch job, as in a line of the caller's upload.
+// Item is one request of a batch job: one line of the caller's upload.
 type Item struct {
 	CustomID string `cbor:"1,keyasint"`
 	Endpoint string `cbor:"2,keyasint"` // path of the call, such as /v1/chat/completions
-	Body     []byte `cbor:"3,keyasint"` // JSON, or what the endpoint expects
-	// Header is sent with the request, beside what the protocol itself sets.
+	Body     []byte `cbor:"3,keyasint"` // JSON, or the format that the endpoint expects
+	// Header holds additional headers of the request, beside the protocol's own.
 	Header map[string]string `cbor:"4,keyasint,omitempty"`
-	Tokens uint32            `cbor:"5,keyasint,omitempty"` // of the prompt and the longest answer together
+	Tokens uint32            `cbor:"5,keyasint,omitempty"` // of the prompt plus the longest possible answer
 }
 
-// State is where a job is in its life.
+// State is the lifecycle state of a job.
 type State string
 
 // States of a job. The last two are final.
 const (
-	StateOpen      State = "open"    // takes parts
-	StateRunning   State = "running" // sealed, items are leased
+	StateOpen      State = "open"    // accepts parts
+	StateRunning   State = "running" // sealed; its items are leased
 	StateCompleted State = "completed"
 	StateCancelled State = "cancelled"
 )
@@ -114,15 +116,15 @@
 // Ended reports whether the state is final.
 func (s State) Ended() bool { return s == StateCompleted || s == StateCancelled }
 
-// Status is what is known of a job.
+// Status is a summary of a job's state and progress.
 type Status struct {
 	ID        ID
 	Spec      Spec
 	State     State
 	Created   instant.Micros
 	Deadline  instant.Micros
-	Finished  instant.Micros // zero until the job ended
-	Expires   instant.Micros // when the results are deleted; zero until the job ended
+	Finished  instant.Micros // zero until the job has ended
+	Expires   instant.Micros // time of the results' deletion; zero until the job has ended
 	Parts     int            // received
 	Items     int            // received
 	Leased    int
@@ -131,24 +133,24 @@
 	Unknown   int // non-idempotent items that may have run without an answer
 }
 
-// Outcome says how an attempt at an item ended.
+// Outcome is how an attempt at an item ended.
 type Outcome string
 
-// Outcomes of an attempt. Retry and returned leave the item to be leased again.
+// Outcomes of an attempt. After retry and returned the item is leased again.
 const (
 	OutcomeSucceeded Outcome = "succeeded"
-	OutcomeFailed    Outcome = "failed"  // for good
+	OutcomeFailed    Outcome = "failed"  // final
 	OutcomeUnknown   Outcome = "unknown" // non-idempotent, may have run
-	OutcomeRetry     Outcome = "retry"   // it ran or may have run, the attempt counts
-	// OutcomeReturned is of an attempt that was preempted or not started and does
+	OutcomeRetry     Outcome = "retry"   // ran or may have run; the attempt counts
+	// OutcomeReturned means that the attempt was preempted or not started and does
 	// not count. A non-idempotent item may be returned only if it was not sent.
 	OutcomeReturned Outcome = "returned"
-	// OutcomeReached is no end: the attempt goes on, and Partial is what it has made
-	// of the answer so far, or a further piece of it.
+	// OutcomeProgress is an intermediate report: the attempt continues, and Partial
+	// holds the answer so far or the next piece of it.
 	OutcomeReached Outcome = "reached"
 )
 
-// Result is how an attempt at an item ended.
+// Result is a gate's report on an attempt at an item.
 type Result struct {
 	Job      ID            `cbor:"1,keyasint"`
 	Item     uint32        `cbor:"2,keyasint"`
@@ -159,40 +161,41 @@
 	Body     []byte        `cbor:"7,keyasint,omitempty"`
 	Reason   apierr.Reason `cbor:"8,keyasint,omitempty"` // why there is no answer
 	Message  string        `cbor:"9,keyasint,omitempty"`
-	// Partial is what a returned attempt had made of the answer, from after the
-	// event or token From up to Reached; the next attempt goes on there.
+	// Partial is the part of the answer after event or token PartialFrom, up to
+	// and including PartialEnd. The next attempt continues after PartialEnd.
 	Partial []byte `cbor:"10,keyasint,omitempty"`
 	Reached int    `cbor:"11,keyasint,omitempty"`
 	From    int    `cbor:"12,keyasint,omitempty"`
 }
 
-// Ref locates a record in a Storage. The zero Ref locates nothing.
+// Ref locates a record in a Storage. The zero Ref means no record.
 type Ref struct {
 	Segment uint32 `cbor:"1,keyasint"` // numbered from 1
-	Length  uint32 `cbor:"2,keyasint"` // of the record in bytes
+	Length  uint32 `cbor:"2,keyasint"` // size of the record in bytes
 	Offset  uint64 `cbor:"3,keyasint"`
 }
 
-// Storage keeps the records that do not stay in memory. Only ReadResult, which
-// commands do not call, reports a failure: at a failure of the others the owner
-// stops the process, as a replica that continued would differ from the rest.
+// Storage stores the records that are not kept in memory. Only ReadResult, which
+// no command calls, returns an error. When another method fails, the
+// implementation stops the process, since this replica's state would otherwise
+// diverge from the others.
 type Storage interface {
 	// AppendPart stores the encoded items of a part.
 	AppendPart(data []byte) Ref
 	// AppendResult stores an encoded result, index page or job record.
 	AppendResult(data []byte) Ref
-	// ReadPart reads what AppendPart stored.
+	// ReadPart returns a record that AppendPart stored.
 	ReadPart(ref Ref) []byte
-	// ReadRecord reads what AppendResult stored, for a command.
+	// ReadRecord returns a record that AppendResult stored, for use in commands.
 	ReadRecord(ref Ref) []byte
-	// ReadResult reads what AppendResult stored, for a reader.
+	// ReadResult returns a record that AppendResult stored, for queries.
 	ReadResult(ref Ref) ([]byte, error)
 }
 
-// Dropped counts the results that were not used.
+// Dropped counts the reported results that were discarded, by cause.
 type Dropped struct {
-	Doubled uint64 // the item had a result already
-	Late    uint64 // a failure from an attempt that had lost its lease
+	Doubled uint64 // the item already had a result
+	Late    uint64 // a failure of an attempt that no longer held its lease
 	Ended   uint64 // the job was cancelled, completed or deleted
 	Invalid uint64 // no such item or outcome
 }
