--- a/internal/job/complete.go
+++ b/internal/job/complete.go
@@ -23,7 +23,7 @@
 
 // Complete applies the results of attempts. The first answer to an item wins,
 // even from an attempt that no longer holds its lease; the others are dropped and
-// counted. Complete is idempotent.
+// counted. Results may be resent.
 func (t *Table) Complete(id SessionID, results []Result, now instant.Micros) {
 	for i := range results {
 		t.completeItem(id, &results[i], now)
--- a/internal/job/property_test.go
+++ b/internal/job/property_test.go
@@ -14,29 +14,30 @@
 	"slateway.example/slateway/internal/job"
 )
 
-// The seed is fixed, so that a run gives the same verdict each time; a longer
-// search takes -rapid.seed=0 -rapid.checks=20000.
+// The seed is fixed to make runs reproducible. For a longer search use
+// -rapid.seed=0 -rapid.checks=20000.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// memory is a Storage in memory.
-type memory struct {
+// memoryStorage is an in-memoryStorage Storage.
+type memoryStorage struct {
 	parts, results [][]byte
 }
 
-func (m *memory) AppendPart(data []byte) job.Ref {
+func (m *memoryStorage) AppendPart(data []byte) job.Ref {
 	m.parts = append(m.parts, data)
 	return job.Ref{Segment: 1, Length: uint32(len(data)), Offset: uint64(len(m.parts) - 1)}
 }
 
-func (m *memory) AppendResult(data []byte) job.Ref {
+func (m *memoryStorage) AppendResult(data []byte) job.Ref {
 	m.results = append(m.results, data)
 	return job.Ref{Segment: 1, Length: uint32(len(data)), Offset: uint64(len(m.results) - 1)}
 }
 
-func (m *memory) ReadPart(ref job.Ref) []byte            { return m.parts[ref.Offset] }
-func (m *memory) ReadRecord(ref job.Ref) []byte          { return m.results[ref.Offset] }
-func (m *memory) ReadResult(ref job.Ref) ([]byte, error) { return m.results[ref.Offset], nil }
-func (m *memory) stored(t *rapid.T, ref job.Ref) (s job.StoredResult) {
+func (m *memoryStorage) ReadPart(ref job.Ref) []byte   { return m.parts[ref.Offset] }
+func (m *memoryStorage) ReadRecord(ref job.Ref) []byte { return m.results[ref.Offset] }
+func (m *memoryStorage) ReadResult(ref job.Ref) ([]byte, error) { return m.results[ref.Offset], nil }
+
+func (m *memoryStorage) stored(t *rapid.T, ref job.Ref) (s job.StoredResult) {
 	if err := codec.Unmarshal(m.results[ref.Offset], &s); err != nil {
 		t.Fatal(err)
 	}
@@ -58,33 +59,33 @@
 	return codec.MustMarshal(items)
 }
 
-// attempt is a run of an item, as a gate knows it.
+// attempt is a gate's record of a leased item.
 type attempt struct {
 	session job.SessionID
 	leased  job.Leased
-	number  int // of all attempts
+	number  int // index among all attempts
 }
 
-// machine drives a Table at random and checks what users were promised.
+// machine runs random commands on a Table and checks its guarantees.
 type machine struct {
 	table     *job.Table
-	storage   *memory
+	storage   *memoryStorage
 	now       instant.Micros
 	ids       []job.ID
 	specs     map[job.ID]job.Spec
-	sealed    map[job.ID]uint32 // items
+	sealed    map[job.ID]uint32 // number of items
 	attempts  []attempt
-	live      map[string]attempt // last lease by item
-	runs      map[string]int     // counted attempts by item
-	first     map[string]job.StoredResult
-	cancelled map[job.ID]int // results at that time
+	live      map[string]attempt          // last lease by item
+	runs      map[string]int              // counted attempts by item
+	first     map[string]job.StoredResult // first result seen by item
+	cancelled map[job.ID]int              // number of results when first seen cancelled
 	sessions  int
 	requests  uint64
 }
 
 func itemKey(id job.ID, item uint32) string { return fmt.Sprintf("%s/%d", id, item) }
 
-// start makes two sealed jobs, the second of which is non-idempotent.
+// start creates two sealed jobs, the second of which is non-idempotent.
 func (m *machine) start(t *rapid.T) {
 	for key := range 2 {
 		m.createKey(t, fmt.Sprint(key))
@@ -126,7 +127,7 @@
 	return rapid.SampledFrom(m.ids).Draw(t, "job")
 }
 
-// upload sends a part, twice at times, and a different one under its number.
+// upload sends a part twice, then a different part under the same number.
 func (m *machine) upload(t *rapid.T) {
 	id := m.drawJob(t)
 	before, _ := m.table.Status(id)
@@ -135,8 +136,8 @@
 		return
 	}
 	after, _ := m.table.Status(id)
-	if grown := after.Items - before.Items; grown != 0 && grown != partItems {
-		t.Fatalf("the part added %d items", grown)
+	if added := after.Items - before.Items; added != 0 && added != partItems {
+		t.Fatalf("the part added %d items", added)
 	}
 	if again, refusal := m.table.AddPart(id, number, partItems, encodedPart(number)); refusal != nil || again.Items != after.Items {
 		t.Fatalf("a resent part: %v, %d items after %d", refusal, again.Items, after.Items)
@@ -160,17 +161,17 @@
 	m.table.OpenSession(session, job.Run{VM: "vm"})
 	m.requests++
 	request := m.requests
-	wants := []job.Want{{Queue: queue, Max: rapid.IntRange(1, 5).Draw(t, "max")}}
-	items, _, refusal := m.table.Lease(session, request, wants, m.now)
+	demands := []job.Want{{Queue: queue, Max: rapid.IntRange(1, 5).Draw(t, "max")}}
+	items, _, refusal := m.table.Lease(session, request, demands, m.now)
 	if refusal != nil {
 		t.Fatalf("lease: %v", refusal)
 	}
-	again, _, _ := m.table.Lease(session, request, wants, m.now)
+	again, _, _ := m.table.Lease(session, request, demands, m.now)
 	if len(items) > 0 && fmt.Sprint(items) != fmt.Sprint(again) {
 		t.Fatalf("a resent lease request got %v after %v", again, items)
 	}
-	if late, _, _ := m.table.Lease(session, request-1, wants, m.now); len(late) > 0 {
-		t.Fatalf("a late copy of an earlier lease request got %v", late)
+	if delayed, _, _ := m.table.Lease(session, request-1, demands, m.now); len(delayed) > 0 {
+		t.Fatalf("a delayed copy of an earlier lease request got %v", delayed)
 	}
 	for _, item := range items {
 		m.checkLease(t, item)
@@ -198,8 +199,8 @@
 	}
 }
 
-// complete reports how any attempt ended, also long after it lost its lease and
-// also twice.
+// complete reports the end of any attempt, possibly repeatedly or long after it
+// has lost its lease.
 func (m *machine) complete(t *rapid.T) {
 	if len(m.attempts) == 0 {
 		t.Skip("no attempt")
@@ -216,10 +217,10 @@
 		Body: fmt.Append(nil, len(m.storage.results)), CustomID: fmt.Sprintf("notice-%d", run.leased.Item),
 	}}, m.now)
 	after, _ := m.table.Status(run.leased.Job)
-	// A returned item did not run, so it may be leased once more.
+	// A returned item did not run, so its attempt does not count.
 	if outcome == job.OutcomeReturned && after.Leased < before.Leased {
 		if live := m.live[itemKey(run.leased.Job, run.leased.Item)]; !reflect.DeepEqual(live, run) {
-			t.Fatalf("a late report of %v ended the lease of %v", run, live)
+			t.Fatalf("a delayed report of %v ended the lease of %v", run, live)
 		}
 		m.runs[itemKey(run.leased.Job, run.leased.Item)]--
 	}
@@ -251,12 +252,12 @@
 	}
 	again, err := restored.Snapshot()
 	if err != nil || string(again) != string(data) {
-		t.Fatalf("the state changed by a restart: %v", err)
+		t.Fatalf("a restart changed the state: %v", err)
 	}
 	m.table = restored
 }
 
-// check holds after each step: a result, once there, stays as it is.
+// check runs after each step and verifies that results never change.
 func (m *machine) check(t *rapid.T) {
 	m.now++
 	for id := range m.sealed {
@@ -291,13 +292,13 @@
 		t.Fatalf("job has more results than items: %+v", status)
 	}
 	if status.State == job.StateCompleted && (!located.End || len(located.Refs) != status.Items) {
-		t.Fatalf("completed job gives %d of %d results", len(located.Refs), status.Items)
+		t.Fatalf("completed job lists %d of %d results", len(located.Refs), status.Items)
 	}
 }
 
-// drain runs what is left; every sealed job must come to its end.
+// drain runs the remaining items; every sealed job must then have ended.
 func (m *machine) drain(t *rapid.T) {
-	const rounds = 20 // above the sessions that can hold items
+	const rounds = 20 // more than the number of sessions that can hold items
 	for range rounds {
 		m.loseGate(t)
 		session := job.SessionID(fmt.Sprint(m.sessions + 1))
@@ -315,17 +316,17 @@
 	}
 }
 
-// Each accepted item gets one result that stays, whatever the order of leases,
-// lost gates, late and doubled reports, cancellations and restarts.
+// Each accepted item gets exactly one final result, whatever the order of leases,
+// lost gates, delayed and repeated reports, cancellations and restarts.
 //
-// Red without its guards: takeItem not asking done, "was leased after it had a
-// result"; loseItem treating all items alike, "non-idempotent item was leased 2
-// times"; Complete not asking done, "completed job gives 2 of 3 results", or not
-// asking for a running job, "a cancelled job went from"; Lease without
-// repeatedLease, "a resent lease request got".
+// Without these checks the test fails as follows: done in nextItem, "was leased
+// after it had a result"; NonIdempotent in endLostLease, "non-idempotent item ...
+// was leased 2 times"; done in Complete, "completed job lists 2 of 3 results"; the
+// running state in Complete, "a cancelled job went from"; repeatedLease in Lease,
+// "a resent lease request got".
 func TestEachItemEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		storage := &memory{}
+		storage := &memoryStorage{}
 		m := &machine{
 			table: job.NewTable(storage), storage: storage, now: 1,
 			specs: make(map[job.ID]job.Spec), sealed: make(map[job.ID]uint32),
--- a/internal/job/submit_test.go
+++ b/internal/job/submit_test.go
@@ -10,7 +10,7 @@
 	"slateway.example/slateway/internal/job"
 )
 
-// submitted hands in a job of partItems items of 10 tokens each.
+// submitted submits a job of partItems items with 10 tokens each.
 func submitted(table *job.Table, key string, quota uint64, giveUp instant.Micros) (job.Status, error) {
 	status, refusal := table.Submit(&job.Submission{
 		Spec: job.Spec{
@@ -34,8 +34,8 @@
 	return items
 }
 
-// listed gives the items of a job's listing in order.
-func listed(t *testing.T, table *job.Table, storage *memory, id job.ID) []uint32 {
+// listed returns the items of a job in the order of completion.
+func listed(t *testing.T, table *job.Table, storage *memoryStorage, id job.ID) []uint32 {
 	t.Helper()
 	listing, err := table.ListFrom(id, 0, 100)
 	if err != nil {
@@ -52,10 +52,10 @@
 	return items
 }
 
-// A client loses the answer to its job and sends it again, at another gate,
-// after all of it has run: it is accepted again and nothing runs twice.
+// A client does not receive the answer to its submission and resends it, even
+// after all items have run. The job must be accepted again without running twice.
 func TestSubmittedJobIsAcceptedOnce(t *testing.T) {
-	table := job.NewTable(&memory{})
+	table := job.NewTable(&memoryStorage{})
 	first, err := submitted(table, "a", 30, 0)
 	if err != nil || first.Items != partItems {
 		t.Fatalf("%+v, %v", first, err)
@@ -75,10 +75,10 @@
 	}
 }
 
-// Two clients of one queue hand in more than the operator allows: the second is
-// refused whole, until the first one's items have results or its job is ended.
+// Two jobs in one queue exceed the quota. The second must be refused as a whole
+// until items of the first have results or the first job has ended.
 func TestQuotaCountsItemsWithoutResult(t *testing.T) {
-	table := job.NewTable(&memory{})
+	table := job.NewTable(&memoryStorage{})
 	first, _ := submitted(table, "a", 50, 0)
 	if _, err := submitted(table, "b", 50, 0); err == nil {
 		t.Fatal("60 tokens accepted under a quota of 50")
@@ -87,24 +87,24 @@
 	items := leaseAll(table, 1)
 	complete(table, first.ID, items[0], job.OutcomeSucceeded, 2)
 	if _, err := submitted(table, "b", 50, 0); err != nil {
-		t.Fatalf("refused with 20 tokens waiting: %v", err)
+		t.Fatalf("refused while 20 tokens are waiting: %v", err)
 	}
 	if _, refusal := table.Cancel(first.ID, 3); refusal != nil {
 		t.Fatal(refusal)
 	}
 	if _, err := submitted(table, "c", 60, 0); err != nil {
-		t.Fatalf("a job that was ended still counts: %v", err)
+		t.Fatalf("a cancelled job still counts against the quota: %v", err)
 	}
 	if restored := roundTrip(t, table); restored != nil {
 		if _, err := submitted(restored, "d", 60, 0); err == nil {
-			t.Fatal("the quota was forgotten over a snapshot")
+			t.Fatal("a snapshot lost the tokens that count against the quota")
 		}
 	}
 }
 
-// Guards against one customer whose waiting items keep all others out.
+// Waiting items of one owner must not use up the quota of the others.
 func TestEachOwnerHasAQuotaOfItsOwn(t *testing.T) {
-	table := job.NewTable(&memory{})
+	table := job.NewTable(&memoryStorage{})
 	submit := func(owner, key string) *apierr.Error {
 		_, refusal := table.Submit(&job.Submission{
 			Spec:   job.Spec{Team: "news.example", Owner: owner, Key: owner + key, Queue: job.Queue{Service: "wordroom"}, MaxAttempts: 1},
@@ -122,7 +122,7 @@
 	}
 	table = roundTrip(t, table)
 	if refusal := submit("council", "c"); refusal == nil {
-		t.Fatal("whose items wait was forgotten over a snapshot")
+		t.Fatal("a snapshot lost the owner of waiting items")
 	}
 }
 
@@ -132,17 +132,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	restored, err := job.RestoreTable(data, &memory{})
+	restored, err := job.RestoreTable(data, &memoryStorage{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return restored
 }
 
-// A reader goes through a job's results while it runs. A result that changed
-// its position would be read twice or never.
+// A client pages through a job's results while the job runs. A result that changed
+// its position would be read twice or not at all.
 func TestResultsKeepTheOrderOfCompletion(t *testing.T) {
-	storage := &memory{}
+	storage := &memoryStorage{}
 	table := job.NewTable(storage)
 	status, _ := submitted(table, "a", 0, 0)
 	table.OpenSession("s", job.Run{VM: "vm"})
@@ -154,14 +154,14 @@
 	}
 	complete(table, status.ID, items[1], job.OutcomeSucceeded, 4)
 	if got := listed(t, table, storage, status.ID); len(got) != 3 || got[0] != 2 || got[1] != 0 || got[2] != 1 {
-		t.Fatalf("listed after the end %v", got)
+		t.Fatalf("listed after the job's end: %v", got)
 	}
 }
 
-// A gate is lost again and again with an item that no upstream ever answered:
-// the item has not failed, and is given up only when its time is over.
+// Gates are lost repeatedly while they run an item that no upstream has answered.
+// The item must not fail before its give-up time.
 func TestItemIsGivenUpByTimeOnly(t *testing.T) {
-	storage := &memory{}
+	storage := &memoryStorage{}
 	table := job.NewTable(storage)
 	const giveUp = instant.Micros(1000)
 	status, _ := submitted(table, "a", 0, giveUp)
@@ -174,16 +174,16 @@
 	}
 	table.OpenSession("s", job.Run{VM: "vm"})
 	running := leaseAll(table, 1)[:1]
-	for _, back := range leaseAll(table, 2) {
-		complete(table, status.ID, back, job.OutcomeReturned, 3)
+	for _, item := range leaseAll(table, 2) {
+		complete(table, status.ID, item, job.OutcomeReturned, 3)
 	}
 	if !table.Expired(giveUp) || table.Expired(giveUp-1) {
 		t.Fatal("given up at the wrong time")
 	}
 	table.Expire(giveUp)
 	complete(table, status.ID, running[0], job.OutcomeReturned, giveUp+1)
-	for _, held := range leaseAll(table, 3) {
-		t.Fatalf("leased after its time: %+v", held)
+	for _, item := range leaseAll(table, 3) {
+		t.Fatalf("leased after the give-up time: %+v", item)
 	}
 	table.EndSession("s", giveUp+2)
 	status, _ = table.Status(status.ID)
@@ -192,26 +192,27 @@
 	}
 }
 
-// reportPart reports the text of an item's events after from up to reached.
-func reportPart(table *job.Table, session job.SessionID, item job.Leased, outcome job.Outcome, from, reached int, text string) {
+// reportPart reports a partial answer: the text of an item's events after start,
+// up to and including end.
+func reportPart(table *job.Table, session job.SessionID, item job.Leased, outcome job.Outcome, start, end int, text string) {
 	table.Complete(session, []job.Result{{
 		Job: item.Job, Item: item.Item, Attempt: item.Attempt, Outcome: outcome,
-		Partial: []byte(text), From: from, Reached: reached,
+		Partial: []byte(text), From: start, Reached: end,
 	}}, 2)
 }
 
-// A gate stops while it runs an item. The next one must go on where it was: run
-// from the start, the work done so far would be lost at each restart of a gate.
+// A gate that stops returns its items with their partial answers. The next gate
+// must resume there; otherwise each restart of a gate would lose work.
 func TestReturnedItemGoesOnWhereItWas(t *testing.T) {
-	storage := &memory{}
+	storage := &memoryStorage{}
 	table := job.NewTable(storage)
 	submitted(table, "a", 0, 0)
 	table.OpenSession("s", job.Run{VM: "vm"})
 	item := leaseAll(table, 1)[0]
-	give := func(item job.Leased, reached int, text string) {
-		reportPart(table, "s", item, job.OutcomeReturned, 0, reached, text)
+	returnItem := func(item job.Leased, end int, text string) {
+		reportPart(table, "s", item, job.OutcomeReturned, 0, end, text)
 	}
-	give(item, 7, "seven events")
+	returnItem(item, 7, "seven events")
 	data, err := table.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -224,32 +225,31 @@
 	if err != nil || again.Item != item.Item || again.Reached != 7 || string(text) != "seven events" {
 		t.Fatalf("leased %+v, %q, %v", again, text, err)
 	}
-	give(again, 3, "three") // a later attempt that came less far takes nothing back
+	returnItem(again, 3, "three") // a shorter partial answer must not replace a longer one
 	if third := leaseAll(table, 3)[0]; third.Reached != 7 {
 		t.Fatalf("leased %+v", third)
 	}
 }
 
-// A gate is killed while it runs an item: nobody gives the item back, and what it
-// had made is gone but for the pieces that the gate handed on meanwhile. The next
-// gate goes on after the last of them; a piece that came without the one before it
-// must not be joined to the text.
+// A gate is killed while it runs an item, so that only the pieces of the answer
+// that it has already reported survive. The next gate must resume after the last
+// of them. A piece whose predecessor is missing must not be appended.
 func TestItemOfAKilledGateGoesOnAfterItsLastPiece(t *testing.T) {
-	storage := &memory{}
+	storage := &memoryStorage{}
 	table := job.NewTable(storage)
 	submitted(table, "a", 0, 0)
 	table.OpenSession("s", job.Run{VM: "vm"})
 	item := leaseAll(table, 1)[0]
-	piece := func(session job.SessionID, from, reached int, text string) {
-		reportPart(table, session, item, job.OutcomeReached, from, reached, text)
+	report := func(session job.SessionID, start, end int, text string) {
+		reportPart(table, session, item, job.OutcomeReached, start, end, text)
 	}
-	piece("s", 0, 3, "one two three")
-	piece("s", 3, 5, " four five")
-	piece("s", 3, 5, " four five") // resent
-	piece("s", 6, 8, " seven eight")
-	piece("other", 5, 6, " six")
-	if leased := table.Ready(queue, partItems); leased != 0 {
-		t.Fatalf("%d items can be leased while their gate runs them", leased)
+	report("s", 0, 3, "one two three")
+	report("s", 3, 5, " four five")
+	report("s", 3, 5, " four five") // resent
+	report("s", 6, 8, " seven eight")
+	report("other", 5, 6, " six")
+	if ready := table.Ready(queue, partItems); ready != 0 {
+		t.Fatalf("%d items can be leased while their gate runs them", ready)
 	}
 	data, err := table.Snapshot()
 	if err != nil {
@@ -274,17 +274,17 @@
 			text += string(read)
 		}
 		if again.Reached != 5 || text != "one two three four five" {
-			t.Errorf("goes on after %d with %q", again.Reached, text)
+			t.Errorf("the partial answer ends at %d and is %q", again.Reached, text)
 		}
 		return
 	}
-	t.Errorf("the item is not leased again: %+v", items)
+	t.Errorf("the item was not leased again: %+v", items)
 }
 
-// An upstream answers that an item failed: that counts, and after the attempts
-// that the job allows the item ends.
+// Attempts that an upstream answered as failed count. After the maximum number of
+// attempts the item must end as failed.
 func TestFailureAnswersCount(t *testing.T) {
-	table := job.NewTable(&memory{})
+	table := job.NewTable(&memoryStorage{})
 	status, _ := submitted(table, "a", 0, 0)
 	table.OpenSession("s", job.Run{VM: "vm"})
 	for request := uint64(1); request <= 2; request++ {
@@ -297,10 +297,11 @@
 	}
 }
 
-// Guards against items that are given up because the clock of the gate that took their job, or of the one that runs them, is an hour off.
+// The clock of the gate that accepts a job, or of the gate that runs its items, is
+// an hour off. Items must still be given up at the right time.
 func TestWhenItemsAreGivenUpDoesNotDependOnTheClocksOfGates(t *testing.T) {
 	const accepted, giveUpAfter = instant.Micros(50_000_000), 20 * time.Second
-	table := job.NewTable(&memory{})
+	table := job.NewTable(&memoryStorage{})
 	status, refusal := table.Submit(&job.Submission{
 		Spec: job.Spec{
 			Team: "news.example", Key: "a", Queue: queue, Within: 9 * time.Second, MaxAttempts: 1, OnlyAnswersCount: true,
@@ -319,11 +320,11 @@
 	if refusal != nil || len(items) != 1 {
 		t.Fatalf("%v, %v", items, refusal)
 	}
-	gatesNow := leasedAt.Time().Add(time.Hour)
-	if left := items[0].ByClock(items[0].GiveUp, gatesNow).Sub(gatesNow); left != 15*time.Second {
-		t.Errorf("%s left at a gate whose clock is an hour ahead", left)
+	gateTime := leasedAt.Time().Add(time.Hour)
+	if left := items[0].ByClock(items[0].GiveUp, gateTime).Sub(gateTime); left != 15*time.Second {
+		t.Errorf("given up in %s at a gate whose clock is an hour ahead", left)
 	}
-	if left := items[0].ByClock(items[0].Deadline, gatesNow).Sub(gatesNow); left != 4*time.Second {
+	if left := items[0].ByClock(items[0].Deadline, gateTime).Sub(gateTime); left != 4*time.Second {
 		t.Errorf("due in %s at a gate whose clock is an hour ahead", left)
 	}
 }
--- a/internal/job/table_test.go
+++ b/internal/job/table_test.go
@@ -11,18 +11,18 @@
 	"slateway.example/slateway/internal/job"
 )
 
-// A bulletin batch with an item that takes down each gate that runs it must
-// still end: the item fails with its reason once its attempts are used up, and
-// the others are not held up meanwhile.
+// One item of a job crashes each gate that runs it. The job must still end: the
+// item fails with a reason after its last attempt, and the other items are not
+// delayed.
 func TestItemThatLosesEachGate(t *testing.T) {
-	storage := &memory{}
+	storage := &memoryStorage{}
 	table := job.NewTable(storage)
 	status, _ := table.Create(job.Spec{Team: "t", Key: "k", Queue: queue, Within: time.Hour, MaxAttempts: 2, Retention: time.Hour}, 1)
 	table.AddPart(status.ID, 0, partItems, encodedPart(0))
 	table.Seal(status.ID, 1, 1)
-	lost := 0
+	lostGates := 0
 	for request := uint64(1); ; request++ {
-		session := job.SessionID(fmt.Sprint("s", lost))
+		session := job.SessionID(fmt.Sprint("s", lostGates))
 		table.OpenSession(session, job.Run{VM: "vm"})
 		items, _, _ := table.Lease(session, request, []job.Want{{Queue: queue, Max: 1}}, 2)
 		if len(items) == 0 {
@@ -30,14 +30,14 @@
 		}
 		if items[0].Item == 0 {
 			table.EndSession(session, 2)
-			lost++
+			lostGates++
 			continue
 		}
 		table.Complete(session, []job.Result{{Job: status.ID, Item: items[0].Item, Attempt: items[0].Attempt, Outcome: job.OutcomeSucceeded}}, 2)
 	}
 	status, _ = table.Status(status.ID)
-	if lost != 2 || status.State != job.StateCompleted || status.Failed != 1 || status.Succeeded != 2 {
-		t.Fatalf("lost %d gates, status %+v", lost, status)
+	if lostGates != 2 || status.State != job.StateCompleted || status.Failed != 1 || status.Succeeded != 2 {
+		t.Fatalf("lost %d gates, status %+v", lostGates, status)
 	}
 	located, _ := table.Locate(status.ID, 0, 1)
 	var first job.StoredResult
@@ -49,11 +49,11 @@
 	}
 }
 
-// All processes of a site are stopped and started. Callers see batch stand still
-// for three more seconds beside idle replicas: the items are leased to gates that
-// are gone, and only the end of their sessions' lifetime frees them.
+// All processes of a site are restarted. Without replacement of the sessions,
+// batch work stands still for three more seconds while replicas are idle: the
+// items stay leased to the earlier gate processes until their sessions expire.
 func TestARestartedGateEndsTheSessionsOfItsEarlierRuns(t *testing.T) {
-	table := job.NewTable(&memory{})
+	table := job.NewTable(&memoryStorage{})
 	earlier := job.Run{VM: "gate-a", Started: 1_000}
 	table.OpenSession("earlier", earlier)
 	table.OpenSession("other", job.Run{VM: "gate-b", Started: 900})
@@ -62,8 +62,8 @@
 	if replaced := table.Replaced(job.Run{VM: "gate-a", Started: 2_000}); !slices.Equal(replaced, []job.SessionID{"earlier"}) {
 		t.Errorf("a later run replaces %v", replaced)
 	}
-	// A second session of the same run, and a call of an earlier run that comes
-	// late or a clock that was set back, end nothing.
+	// A second session of the same run, a delayed call of an earlier run or a
+	// clock that was set back replace nothing.
 	for _, run := range []job.Run{earlier, {VM: "gate-a", Started: 500}, {VM: "gate-a"}, {VM: "gate-c", Started: 5_000}} {
 		if replaced := table.Replaced(run); len(replaced) > 0 {
 			t.Errorf("%+v replaces %v", run, replaced)
@@ -74,7 +74,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	restored, err := job.RestoreTable(data, &memory{})
+	restored, err := job.RestoreTable(data, &memoryStorage{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,12 +83,11 @@
 	}
 }
 
-// More work waits than can be done in time. By deadline alone gates take the job
-// that is due next although its items cannot be done by then, and the one behind
-// it comes late too: owners of both find their notices late, where one could have
-// had them in time.
+// More work is waiting than can be done in time. Ordered by deadline alone, gates
+// would lease the job that is due next although its items cannot be done by then,
+// and the job after it would miss its deadline too.
 func TestItemsThatCannotBeInTimeAreLeasedLast(t *testing.T) {
-	table := job.NewTable(&memory{})
+	table := job.NewTable(&memoryStorage{})
 	now := instant.Micros(1)
 	submit := func(key string, within time.Duration) job.ID {
 		status, _ := table.Create(job.Spec{Team: "t", Key: key, Queue: queue, Within: within, MaxAttempts: 2, Retention: time.Hour}, now)
@@ -104,37 +103,37 @@
 		return items
 	}
 	submit("before", time.Minute)
-	for _, item := range lease(partItems) { // tells how long items take
+	for _, item := range lease(partItems) { // sets the mean duration of items
 		table.Complete("s", []job.Result{{
 			Job: item.Job, Item: item.Item, Attempt: item.Attempt, Outcome: job.OutcomeSucceeded,
 		}}, now.Add(5*time.Second))
 	}
 	now = now.Add(5 * time.Second)
-	late, inTime := submit("late", 3*time.Second), submit("in-time", 8*time.Second)
+	overdue, inTime := submit("late", 3*time.Second), submit("in-time", 8*time.Second)
 
 	data, err := table.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if table, err = job.RestoreTable(data, &memory{}); err != nil { // a restart of the keepers
+	if table, err = job.RestoreTable(data, &memoryStorage{}); err != nil { // a restart of the keepers
 		t.Fatal(err)
 	}
 	first := lease(1)[0]
 	if first.Job != inTime || first.Takes != 5*time.Second {
-		t.Errorf("an item that cannot be in time goes before one that can; items take %s", first.Takes)
+		t.Errorf("an overdue item was leased before one that can be in time; expected run time %s", first.Takes)
 	}
 	for _, item := range lease(partItems) {
-		if item.Job == late {
+		if item.Job == overdue {
 			return
 		}
 	}
-	t.Error("the late job gets no turn when nothing else waits")
+	t.Error("the overdue job was not leased although nothing else was waiting")
 }
 
-// A client is lost during its upload, another reads its results too late: both
-// jobs leave the keepers' memory and disk when their time is over.
+// An abandoned upload and an ended job past its retention must both be removed
+// from the keepers' memory and disk.
 func TestExpire(t *testing.T) {
-	storage := &memory{}
+	storage := &memoryStorage{}
 	table := job.NewTable(storage)
 	spec := job.Spec{Team: "t", Key: "lost", Queue: queue, MaxAttempts: 1, Retention: time.Minute}
 	upload, _ := table.Create(spec, 1)
@@ -142,25 +141,25 @@
 	spec.Key = "ended"
 	ended, _ := table.Create(spec, 1)
 	table.Seal(ended.ID, 0, 1)
-	early, late := instant.Micros(1).Add(time.Minute-1), instant.Micros(1).Add(time.Minute)
-	if table.Expired(early) || !table.Expired(late) {
+	before, expiry := instant.Micros(1).Add(time.Minute-1), instant.Micros(1).Add(time.Minute)
+	if table.Expired(before) || !table.Expired(expiry) {
 		t.Fatal("the jobs expire at the wrong time")
 	}
-	if deleted := table.Expire(late); deleted != 1 || table.PartSegmentInUse(1) {
+	if deleted := table.Expire(expiry); deleted != 1 || table.PartSegmentInUse(1) {
 		t.Fatalf("deleted %d jobs, parts in use: %v", deleted, table.PartSegmentInUse(1))
 	}
 	if status, refusal := table.Status(upload.ID); refusal != nil || status.State != job.StateCancelled {
 		t.Fatalf("the abandoned upload: %+v, %v", status, refusal)
 	}
-	if table.Expire(late.Add(time.Minute)) != 1 || table.ResultSegmentInUse(1) || len(table.List("t")) != 0 {
-		t.Fatal("something was kept")
+	if table.Expire(expiry.Add(time.Minute)) != 1 || table.ResultSegmentInUse(1) || len(table.List("t")) != 0 {
+		t.Fatal("an expired job or its results were kept")
 	}
 }
 
-// Jobs with deadlines keep coming while one has missed its own. Served last for
-// ever it would never end; served first it would make the others late as well.
+// New jobs keep arriving while one job is overdue. Always served last, it would
+// never end; always served first, it would delay the others past their deadlines.
 func TestLateJobIsServedLastButServed(t *testing.T) {
-	table := job.NewTable(&memory{})
+	table := job.NewTable(&memoryStorage{})
 	add := func(key string, within time.Duration) job.ID {
 		status, _ := table.Create(job.Spec{Team: "t", Key: key, Queue: queue, Within: within, MaxAttempts: 1, Retention: time.Hour}, 1)
 		for number := range 5 {
@@ -169,14 +168,14 @@
 		table.Seal(status.ID, 5, 1)
 		return status.ID
 	}
-	late, second, first := add("late", 0), add("second", 2*time.Hour), add("first", time.Hour)
+	overdue, second, first := add("late", 0), add("second", 2*time.Hour), add("first", time.Hour)
 	table.OpenSession("s", job.Run{VM: "vm"})
 	var order []job.ID
 	for request := uint64(1); request <= 17; request++ {
 		items, _, _ := table.Lease("s", request, []job.Want{{Queue: queue, Max: 1}}, 2)
 		order = append(order, items[0].Job)
 	}
-	if order[0] != first || order[6] != first || order[7] != late || order[15] != late || order[16] != first {
-		t.Fatalf("late %s, first %s, second %s: order %v", late, first, second, order)
+	if order[0] != first || order[6] != first || order[7] != overdue || order[15] != overdue || order[16] != first {
+		t.Fatalf("overdue %s, first %s, second %s: order %v", overdue, first, second, order)
 	}
 }
