--- a/internal/routes/document.go
+++ b/internal/routes/document.go
@@ -1,21 +1,23 @@
-// Package routes holds the aggregate of routes: which service answers a request
-// by its host and path, and on what terms. Operators replace the whole document;
-// the highest version holds, and the content under a version never changes.
+// Package routes implements the routing configuration: which service serves a
+// request for a host and path, and with which limits and timeouts. Operators
+// replace the whole document; the highest version is in force, and the content of
+// a version never changes.
 //
-// It is a decision package: randomness is passed in, and nothing here does I/O.
+// The package does no I/O; callers pass random numbers in.
 package routes
 
 import "time"
 
-// Kind says what may be repeated of a route's requests.
+// Kind determines how requests of a route are executed and whether they may be
+// repeated.
 type Kind string
 
 // Kinds of routes.
 const (
 	Idempotent    Kind = "idempotent"     // may run more than once
-	NonIdempotent Kind = "non_idempotent" // runs once at most
+	NonIdempotent Kind = "non_idempotent" // runs at most once
 	Streaming     Kind = "streaming"      // answered by a stream of events
-	Batch         Kind = "batch"          // takes jobs, whose items run later
+	Batch         Kind = "batch"          // accepts jobs, whose items run later
 )
 
 // Document is one version of all routes and services.
@@ -24,61 +26,62 @@
 	Routes   []Route   `cbor:"2,keyasint,omitempty"`
 	Services []Service `cbor:"3,keyasint,omitempty"`
 	Limits   Limits    `cbor:"4,keyasint"`
-	// Source is the document as its operator sent it. Readers get it back byte
-	// by byte, with what this version of the program does not know.
+	// Source is the document as its operator sent it. Reads return it unchanged,
+	// including fields that this version of the program does not know.
 	Source []byte `cbor:"5,keyasint,omitempty"`
-	// RequiresKey: callers show a key of one of Teams, but for routes that allow
-	// anonymous requests.
+	// RequiresKey requires callers to present a key of one of Teams, except on
+	// routes that allow anonymous requests.
 	RequiresKey bool   `cbor:"6,keyasint,omitempty"`
 	Teams       []Team `cbor:"7,keyasint,omitempty"`
 }
 
-// Route says where requests of a host and path prefix go.
+// Route defines how requests for a host and path prefix are served.
 type Route struct {
 	Name   string  `cbor:"1,keyasint"`
 	Host   string  `cbor:"2,keyasint"`
-	Prefix string  `cbor:"3,keyasint"` // of the path; the longest that fits is taken
+	Prefix string  `cbor:"3,keyasint"` // path prefix; the longest match applies
 	Kind   Kind    `cbor:"4,keyasint"`
-	Split  []Share `cbor:"5,keyasint"` // services, at least one with a weight above zero
+	Split  []Share `cbor:"5,keyasint"` // by service; at least one weight is above zero
 
-	Timeout       time.Duration `cbor:"6,keyasint"`           // longest time a request is kept waiting
-	TargetLatency time.Duration `cbor:"7,keyasint,omitempty"` // to the answer or, of a stream, its first event
-	Priority      int           `cbor:"8,keyasint,omitempty"` // 0 goes first
-	MaxAttempts   int           `cbor:"9,keyasint"`           // upstreams that one request may be sent to
+	Timeout       time.Duration `cbor:"6,keyasint"`           // longest time that a request waits
+	TargetLatency time.Duration `cbor:"7,keyasint,omitempty"` // until the answer or, for a stream, its first event
+	Priority      int           `cbor:"8,keyasint,omitempty"` // 0 is served first
+	MaxAttempts   int           `cbor:"9,keyasint"`           // maximum number of upstreams that a request is sent to
 	Resumable     bool          `cbor:"10,keyasint,omitempty"`
-	LongestPause  time.Duration `cbor:"11,keyasint,omitempty"` // between the events of a stream on time
+	LongestPause  time.Duration `cbor:"11,keyasint,omitempty"` // maximum time between events of a healthy stream
 
 	Anonymous bool `cbor:"15,keyasint,omitempty"` // requests need no key
 
-	// Of batch routes.
-	CompletionTarget time.Duration `cbor:"12,keyasint,omitempty"` // after which all results of a job are late
-	GiveUpAfter      time.Duration `cbor:"13,keyasint,omitempty"` // after which items without a result may end
-	QuotaTokens      uint64        `cbor:"14,keyasint,omitempty"` // of one team that may wait; 0: no bound
+	// The following fields apply to batch routes.
+	CompletionTarget time.Duration `cbor:"12,keyasint,omitempty"` // time within which a job should have all results
+	GiveUpAfter      time.Duration `cbor:"13,keyasint,omitempty"` // time after which items without a result may end
+	QuotaTokens      uint64        `cbor:"14,keyasint,omitempty"` // limit of a team's waiting tokens; 0 means no limit
 }
 
-// Share is a service's part of a route's requests.
+// Share is a service's share of a route's requests.
 type Share struct {
 	Service string `cbor:"1,keyasint"`
 	Weight  int    `cbor:"2,keyasint"`
 }
 
-// Service is a group of like upstreams.
+// Service is a group of equivalent upstreams.
 type Service struct {
 	Name           string  `cbor:"1,keyasint"`
 	HealthPath     string  `cbor:"2,keyasint,omitempty"`
-	MaxConnections int     `cbor:"3,keyasint,omitempty"` // that one upstream takes from all callers
+	MaxConnections int     `cbor:"3,keyasint,omitempty"` // connections that one upstream accepts in total
 	Engine         *Engine `cbor:"4,keyasint,omitempty"` // nil: a plain service
 }
 
 // Engine describes the model engines of a service.
 type Engine struct {
 	Slots        int `cbor:"1,keyasint,omitempty"`
-	MemoryTokens int `cbor:"2,keyasint,omitempty"` // of running requests and cached prompts together
-	// Moves: a run can be stopped and go on from its memory, there or elsewhere.
+	MemoryTokens int `cbor:"2,keyasint,omitempty"` // capacity for running requests and cached prompts
+	// CanMove means that a run can be stopped and resumed from its saved memory, on
+	// the same replica or another one.
 	Moves bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Limits bound what a caller may send, and how slowly.
+// Limits limits the size and the duration of callers' requests.
 type Limits struct {
 	HeaderBytes   int           `cbor:"1,keyasint,omitempty"`
 	BodyBytes     int64         `cbor:"2,keyasint,omitempty"`
@@ -86,7 +89,7 @@
 	IdleTimeout   time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// Repeatable says whether a request of the route may run more than once.
+// Repeatable reports whether a request of the route may run more than once.
 func (r *Route) Repeatable() bool {
 	switch r.Kind {
 	case Idempotent, Batch:
--- a/internal/routes/match.go
+++ b/internal/routes/match.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Matcher finds the route of a request. It is made once for a document and safe
+// Matcher finds the route of a request. It is created once per document and safe
 // for concurrent use.
 type Matcher struct {
 	document *Document
@@ -15,7 +15,8 @@
 	teams    map[KeyHash]*Team
 }
 
-// NewMatcher indexes a document, which must not change any more.
+// NewMatcher creates a Matcher for a document, which must not be modified
+// afterwards.
 func NewMatcher(d *Document) *Matcher {
 	m := &Matcher{
 		document: d, hosts: make(map[string][]*Route), services: make(map[string]*Service), teams: make(map[KeyHash]*Team),
@@ -38,14 +39,14 @@
 	return m
 }
 
-// Version gives the version of the document.
+// Version returns the version of the document.
 func (m *Matcher) Version() uint64 { return m.document.Version }
 
-// Document gives the document itself.
+// Document returns the document.
 func (m *Matcher) Document() *Document { return m.document }
 
-// Match gives the route of the longest prefix that begins the path; nil if there
-// is none.
+// Match returns the route with the longest prefix of the path, or nil if there is
+// none.
 func (m *Matcher) Match(host, path string) *Route {
 	for _, route := range m.hosts[canonicalHost(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
@@ -55,19 +56,21 @@
 	return nil
 }
 
-// Service finds a service of the document; nil if it has none of the name.
+// Service returns the service with the name, or nil if there is none.
 func (m *Matcher) Service(name string) *Service { return m.services[name] }
 
-// TeamOf gives the team that holds a key; nil if none does.
+// TeamOf returns the team that a key belongs to, or nil if there is none.
 func (m *Matcher) TeamOf(key string) *Team { return m.teams[HashKey(key)] }
 
-// RequiresKey says whether callers of routes that are not anonymous show a key.
+// RequiresKey reports whether callers must present a key on routes that are not
+// anonymous.
 func (m *Matcher) RequiresKey() bool { return m.document.RequiresKey }
 
-// HasHost says whether any route is on the host.
+// HasHost reports whether the host has any route.
 func (m *Matcher) HasHost(host string) bool { return len(m.hosts[canonicalHost(host)]) > 0 }
 
-// canonicalHost drops the port and the case, in which clients differ.
+// canonicalHost removes the port and converts to lower case, since clients differ
+// in both.
 func canonicalHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.Contains(host[i:], "]") {
 		host = host[:i]
@@ -75,8 +78,9 @@
 	return strings.ToLower(host)
 }
 
-// Pick draws a service by its weight; draw is uniform in [0, 1). Services that
-// usable rejects are left out as long as another one has a weight.
+// Pick selects a service at random by weight; draw is a random number in [0, 1).
+// It skips services for which usable returns false, unless no other service has a
+// weight.
 func (r *Route) Pick(draw float64, usable func(service string) bool) string {
 	if picked := r.pick(draw, usable); picked != "" {
 		return picked
@@ -91,15 +95,15 @@
 			total += share.Weight
 		}
 	}
-	at := int(draw * float64(total))
+	offset := int(draw * float64(total))
 	for _, share := range r.Split {
 		if !usable(share.Service) {
 			continue
 		}
-		if at < share.Weight {
+		if offset < share.Weight {
 			return share.Service
 		}
-		at -= share.Weight
+		offset -= share.Weight
 	}
 	return ""
 }
--- a/internal/routes/pack.go
+++ b/internal/routes/pack.go
@@ -2,22 +2,22 @@
 
 import "slateway.example/slateway/internal/codec"
 
-// Packed is a document as it is kept in the log and sent to gates: encoded and
-// compressed.
+// Packed is an encoded and compressed document, as it is stored in the log and
+// sent to gates.
 //
-// A document of a thousand routes says much the same in each of them. It goes to each
-// member of the group and to each gate; encoded anew for each of them, a few versions
-// in a row would keep a small VM busy for longer than a version may take to be in
-// force everywhere.
+// The thousand routes of a large document are very similar, so it compresses well.
+// It is sent to each member of the group and each gate. If it were encoded again for
+// each of them, a few consecutive versions would occupy a small VM for longer than a
+// version may take to be in force everywhere.
 type Packed []byte
 
-// maxUnpacked bounds the encoded document, as the calls that bring one do.
+// maxUnpacked limits the size of the encoded document, like the calls that send one.
 const maxUnpacked = 16 << 20
 
 // Pack encodes and compresses a document.
 func Pack(d *Document) (Packed, error) { return codec.Pack(d) }
 
-// Unpack gives the document.
+// Unpack decompresses and decodes the document.
 func (p Packed) Unpack() (*Document, error) {
 	d := &Document{}
 	if err := codec.Unpack(p, maxUnpacked, d); err != nil {
@@ -26,9 +26,9 @@
 	return d, nil
 }
 
-// WithoutSource gives the document as gates need it, without what its operator sent.
+// WithoutSource returns a copy of the document without its source, for gates.
 func (d *Document) WithoutSource() *Document {
-	bare := *d
-	bare.Source = nil
-	return &bare
+	reduced := *d
+	reduced.Source = nil
+	return &reduced
 }
--- a/internal/routes/pack_test.go
+++ b/internal/routes/pack_test.go
@@ -10,8 +10,8 @@
 	"slateway.example/slateway/internal/routes"
 )
 
-// grown is a document of as many routes as operators of a large site have.
-func grown(count int) *routes.Document {
+// documentWithRoutes returns a document with count routes, like that of a large site.
+func documentWithRoutes(count int) *routes.Document {
 	d := &routes.Document{Version: 7, Services: []routes.Service{{Name: "wordroom"}}}
 	for i := range count {
 		d.Routes = append(d.Routes, routes.Route{
@@ -24,41 +24,41 @@
 }
 
 func TestPackedDocumentsComeBack(t *testing.T) {
-	d := grown(50)
+	d := documentWithRoutes(50)
 	packed, err := routes.Pack(d)
 	if err != nil {
 		t.Fatal(err)
 	}
-	back, err := packed.Unpack()
-	if err != nil || !reflect.DeepEqual(back, d) {
-		t.Errorf("got %+v, %v", back, err)
+	unpacked, err := packed.Unpack()
+	if err != nil || !reflect.DeepEqual(unpacked, d) {
+		t.Errorf("got %+v, %v", unpacked, err)
 	}
 	if _, err := routes.Packed("no document").Unpack(); err == nil {
-		t.Error("what is none was unpacked")
+		t.Error("invalid data was unpacked without an error")
 	}
 	if _, err := packed[:len(packed)/2].Unpack(); err == nil {
-		t.Error("half of one was unpacked")
+		t.Error("a truncated document was unpacked without an error")
 	}
 }
 
-// Operators put several versions of a thousand routes in force within seconds. Small
-// control VMs send each version to each gate, and gates serve by the old one until
-// theirs comes.
+// Operators apply several versions of a thousand routes within seconds, and a small
+// control VM sends each version to each gate. If the documents are too large, gates
+// keep using the old version for too long.
 func TestAPackedDocumentIsSmall(t *testing.T) {
-	d := grown(1140)
+	d := documentWithRoutes(1140)
 	packed, err := routes.Pack(d.WithoutSource())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if whole := len(codec.MustMarshal(d)); len(packed)*8 > whole {
-		t.Errorf("%d bytes packed, %d whole", len(packed), whole)
+		t.Errorf("%d bytes packed, %d bytes unpacked", len(packed), whole)
 	}
 }
 
-// BenchmarkSendRoutes is what a version of 1,140 routes costs a control VM for seven
-// gates: encoded and compressed for each (before), or packed once (after).
+// BenchmarkSendRoutes measures the cost of preparing a version of 1,140 routes for
+// seven gates: packed with its source for each gate, or packed once without it.
 func BenchmarkSendRoutes(b *testing.B) {
-	d := grown(1140)
+	d := documentWithRoutes(1140)
 	const gates = 7
 	b.Run("for each gate", func(b *testing.B) {
 		for b.Loop() {
--- a/internal/routes/registry.go
+++ b/internal/routes/registry.go
@@ -5,48 +5,49 @@
 	"slateway.example/slateway/internal/codec"
 )
 
-// Outcome says what became of a replacement. It is an acknowledgement in any
-// case without Refusal: the operator need not send the document again.
+// Outcome is the result of a replacement. Without a Refusal it acknowledges the
+// document, even if it was not applied: the operator need not send it again.
 type Outcome struct {
-	Applied bool          `cbor:"1,keyasint"` // the document is in force from now on
-	Held    uint64        `cbor:"2,keyasint"` // version in force after it
+	Applied bool          `cbor:"1,keyasint"` // the document is now in force
+	Held    uint64        `cbor:"2,keyasint"` // version in force afterwards
 	Refusal *apierr.Error `cbor:"3,keyasint,omitempty"`
 }
 
 // Registry holds the document in force.
 type Registry struct {
-	held Document
+	current Document
 }
 
-// Replace puts a document in force if its version is above the held one. An
-// older one changes nothing, and neither does other content under the held
-// version: of two operators who race for a number the first one wins, and what
-// was acknowledged never changes.
+// Replace puts a document in force if its version is higher than the current one.
+// An older version, or different content under the current version, changes
+// nothing: if two operators use the same version, the first one wins, and the
+// acknowledged content never changes.
 func (r *Registry) Replace(d *Document) Outcome {
 	if refusal := d.Check(); refusal != nil {
-		return Outcome{Held: r.held.Version, Refusal: refusal}
+		return Outcome{Held: r.current.Version, Refusal: refusal}
 	}
-	if d.Version <= r.held.Version {
-		return Outcome{Held: r.held.Version}
+	if d.Version <= r.current.Version {
+		return Outcome{Held: r.current.Version}
 	}
-	r.held = *d
+	r.current = *d
 	return Outcome{Applied: true, Held: d.Version}
 }
 
-// Held gives the document in force, version 0 if there is none yet. It must not
-// be changed.
-func (r *Registry) Held() *Document { return &r.held }
+// Current returns the document in force; its version is 0 if there is none yet.
+// It must not be modified.
+func (r *Registry) Held() *Document { return &r.current }
 
 // Snapshot encodes the registry.
-func (r *Registry) Snapshot() []byte { return codec.MustMarshal(r.held) }
+func (r *Registry) Snapshot() []byte { return codec.MustMarshal(r.current) }
 
-// Restore decodes what Snapshot encoded; empty data is the empty registry.
+// Restore decodes a registry that Snapshot encoded. Empty data yields an empty
+// registry.
 func Restore(data []byte) (*Registry, error) {
 	r := &Registry{}
 	if len(data) == 0 {
 		return r, nil
 	}
-	if err := codec.Unmarshal(data, &r.held); err != nil {
+	if err := codec.Unmarshal(data, &r.current); err != nil {
 		return nil, err
 	}
 	return r, nil
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -23,9 +23,9 @@
 	return d
 }
 
-// Two operators race for one number, an older change arrives late, an answer is
-// lost and its change sent again: each is acknowledged, and what gates serve by
-// never changes under a version and never goes back.
+// Two operators use the same version, an older document arrives late, and a document
+// is resent after its answer was lost. All must be acknowledged, while the content
+// of the current version never changes and the version never decreases.
 func TestHighestVersionHoldsAndKeepsItsContent(t *testing.T) {
 	r := &routes.Registry{}
 	if outcome := r.Replace(document(7, nil)); !outcome.Applied || outcome.Held != 7 {
@@ -68,7 +68,7 @@
 			t.Errorf("%s: %+v", reason, outcome)
 		}
 		if r.Held().Version != 0 {
-			t.Errorf("%s: in force all the same", reason)
+			t.Errorf("%s: the refused document is in force", reason)
 		}
 	}
 }
@@ -101,13 +101,13 @@
 		counts[route.Pick(float64(i)/1000, all)]++
 	}
 	if counts["wordroom"] != 900 || counts["pagedesk"] != 100 {
-		t.Fatalf("drawn %v", counts)
+		t.Fatalf("picked %v", counts)
 	}
 	only := func(service string) bool { return service == "pagedesk" }
 	if got := route.Pick(0.1, only); got != "pagedesk" {
 		t.Fatalf("picked %q", got)
 	}
 	if got := route.Pick(0.1, func(string) bool { return false }); got != "wordroom" {
-		t.Fatalf("with no usable service picked %q", got)
+		t.Fatalf("picked %q without a usable service", got)
 	}
 }
--- a/internal/routes/team_test.go
+++ b/internal/routes/team_test.go
@@ -11,7 +11,7 @@
 	return document(3, func(d *routes.Document) { d.RequiresKey, d.Teams = true, teams })
 }
 
-// Guards against a request that runs for one of two teams by lot.
+// A key that belongs to two teams would assign a request to an arbitrary one of them.
 func TestTeamsThatShareAKeyAreRefused(t *testing.T) {
 	shared := withTeams(
 		routes.Team{Name: "council", Keys: []routes.KeyHash{routes.HashKey("a"), routes.HashKey("b")}},
@@ -23,7 +23,7 @@
 	}
 	twice := withTeams(routes.Team{Name: "council", Keys: []routes.KeyHash{routes.HashKey("a"), routes.HashKey("a")}}, routes.Team{Name: "empty"})
 	if refusal := twice.Check(); refusal != nil {
-		t.Errorf("a key that one team lists twice: %v", refusal)
+		t.Errorf("a team that lists a key twice was refused: %v", refusal)
 	}
 }
 
@@ -34,12 +34,12 @@
 	}
 	for _, key := range []string{"", "b", "A"} {
 		if team := m.TeamOf(key); team != nil {
-			t.Errorf("%q names %+v", key, team)
+			t.Errorf("key %q belongs to %+v", key, team)
 		}
 	}
 }
 
-// Guards against keys that gates hold, and could write or pass on.
+// Gates must not receive keys, since they could log or forward them.
 func TestGatesAreSentNoKeys(t *testing.T) {
 	d := withTeams(routes.Team{Name: "council", Keys: []routes.KeyHash{routes.HashKey("the-secret-key")}})
 	d.Source = []byte(`{"tenants":[{"name":"council","api_keys":["the-secret-key"]}]}`)
@@ -47,11 +47,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	back, err := packed.Unpack()
-	if err != nil || len(back.Source) > 0 || strings.Contains(string(packed), "the-secret-key") {
-		t.Fatalf("%v, source %q", err, back.Source)
+	unpacked, err := packed.Unpack()
+	if err != nil || len(unpacked.Source) > 0 || strings.Contains(string(packed), "the-secret-key") {
+		t.Fatalf("%v, source %q", err, unpacked.Source)
 	}
-	if team := routes.NewMatcher(back).TeamOf("the-secret-key"); team == nil || team.Name != "council" {
+	if team := routes.NewMatcher(unpacked).TeamOf("the-secret-key"); team == nil || team.Name != "council" {
 		t.Errorf("%+v", team)
 	}
 }
