--- a/internal/team/change.go
+++ b/internal/team/change.go
@@ -8,17 +8,17 @@
 	"slateway.example/slateway/internal/codec"
 )
 
-// TokenHash is the SHA-256 of a bearer token; tokens themselves are not kept.
+// TokenHash is the SHA-256 hash of a bearer token. Tokens themselves are not stored.
 type TokenHash string
 
-// HashToken gives the hash under which a team's token is stored. Tokens are
-// long random strings, so a plain hash without salt cannot be reversed.
+// HashToken returns the hash of a token. Tokens are long random strings, so a hash
+// without salt cannot be reversed.
 func HashToken(token string) TokenHash {
 	sum := sha256.Sum256([]byte(token))
 	return TokenHash(hex.EncodeToString(sum[:]))
 }
 
-// Value is a team's value of one parameter of its template, in text form.
+// Value is a team's value for one parameter of its template, in text form.
 type Value struct {
 	Name  string `cbor:"1,keyasint"`
 	Value string `cbor:"2,keyasint"`
@@ -33,14 +33,15 @@
 	Tokens   []TokenHash `cbor:"4,keyasint,omitempty"`
 }
 
-// Change is an operator's numbered edit of one template or team. Exactly one of
-// its four operations is set.
+// Change is an operator's change to one template or team. Exactly one of its four
+// operations is set.
 type Change struct {
-	// ID names the change; a resend under the same ID gets the first answer.
+	// ID identifies the change; resending it under the same ID returns the first
+	// answer.
 	ID       string `cbor:"1,keyasint"`
 	Operator string `cbor:"2,keyasint"`
-	// BaseRevision is the revision at which the object last changed, as the
-	// operator saw it; 0 creates the object.
+	// BaseRevision is the revision of the object's last change that the operator
+	// knows; 0 creates the object.
 	BaseRevision uint64 `cbor:"3,keyasint"`
 
 	PutTemplate    *Template `cbor:"4,keyasint,omitempty"`
@@ -49,40 +50,41 @@
 	DeleteTeam     string    `cbor:"7,keyasint,omitempty"`
 }
 
-// Winner names the change that another one lost against.
+// Winner identifies the change that was applied instead of a conflicting one.
 type Winner struct {
 	ChangeID string
 	Operator string
-	Revision uint64 // at which it took effect
+	Revision uint64 // revision at which it took effect
 }
 
-// Outcome is the answer to a change: the revision at which it took effect, or
-// why it was refused and, after a lost race, who won.
+// Outcome is the answer to a change: the revision at which it took effect, or the
+// reason for its refusal and, after a conflict, the change that won.
 type Outcome struct {
 	Revision uint64
 	Refusal  *apierr.Error
 	Winner   *Winner
 }
 
-// fingerprint tells a resend of the change from another one under its ID.
+// fingerprint returns a hash of the change, which distinguishes a resent change
+// from a different one under the same ID.
 func (c *Change) fingerprint() uint64 {
 	sum := sha256.Sum256(codec.MustMarshal(c))
-	var first uint64
+	var prefix uint64
 	for _, b := range sum[:8] {
-		first = first<<8 | uint64(b)
+		prefix = prefix<<8 | uint64(b)
 	}
-	return first
+	return prefix
 }
 
-// objectKey names the template or team that a change edits.
+// objectKey identifies the template or team that a change edits.
 type objectKey struct {
-	Team bool   `cbor:"1,keyasint"` // else a template
+	Team bool   `cbor:"1,keyasint"` // a team; otherwise a template
 	Name string `cbor:"2,keyasint"`
 }
 
-// object gives the key of the change's object; ok is false unless exactly one
-// operation is set.
-func (c *Change) object() (key objectKey, ok bool) {
+// target returns the key of the target that the change edits; ok is false unless
+// exactly one operation is set.
+func (c *Change) target() (key objectKey, ok bool) {
 	count := 0
 	if c.PutTemplate != nil {
 		key, count = objectKey{Name: c.PutTemplate.Name}, count+1
--- a/internal/team/doc.go
+++ b/internal/team/doc.go
@@ -1,8 +1,8 @@
-// Package team holds the configuration aggregate: templates, the teams made
-// from them, and the numbered changes that operators make to both.
+// Package team implements the configuration of teams: templates, the teams created
+// from them, and the versioned changes that operators make to both.
 //
-// Registry is the replicated side: it accepts changes one after the other,
-// answers a resent change with its first answer and hands out what changed
-// since a revision. View is the gate's side: it follows a Registry and never
-// goes back. Neither is safe for concurrent use; their owners hold a lock.
+// Registry is the replicated state: it applies changes in sequence, returns the
+// first answer for a resent change and provides the updates since a revision. View
+// is a gate's copy: it follows a Registry and never returns to an earlier revision.
+// Neither is safe for concurrent use; callers must hold a lock.
 package team
--- a/internal/team/parameter.go
+++ b/internal/team/parameter.go
@@ -11,7 +11,7 @@
 // ParameterType is the type of a parameter's values.
 type ParameterType string
 
-// Types of parameters. A duration is written as in "1m30s".
+// Types of parameters. A duration has the form "1m30s".
 const (
 	TypeString   ParameterType = "string"
 	TypeInteger  ParameterType = "integer"
@@ -20,15 +20,15 @@
 	TypeDuration ParameterType = "duration"
 )
 
-// Parameter is what a template leaves to each team. A parameter without a
-// default must be given by every team.
+// Parameter is a parameter of a template. Every team must set a value for a
+// parameter without a default.
 type Parameter struct {
 	Name        string        `toml:"name"`
 	Type        ParameterType `toml:"type"`
 	Description string        `toml:"description"`
 	Default     Setting       `toml:"default"`
-	Min         Setting       `toml:"min"` // lowest value, of integers, numbers and durations
-	Max         Setting       `toml:"max"` // highest value, of the same types
+	Min         Setting       `toml:"min"` // lowest value of an integer, number or duration
+	Max         Setting       `toml:"max"` // highest value of an integer, number or duration
 	Choices     []Setting     `toml:"choices"`
 }
 
@@ -36,14 +36,14 @@
 	if !validName(p.Name) {
 		return fmt.Errorf("parameter name %q is not valid: %s", p.Name, nameRemedy)
 	}
-	if (p.Min != "" || p.Max != "") && !p.Type.ordered() {
+	if (p.Min != "" || p.Max != "") && !p.Type.isOrdered() {
 		return fmt.Errorf("parameter %q of type %q cannot have min or max", p.Name, p.Type)
 	}
 	for _, value := range append([]Setting{p.Min, p.Max}, p.Choices...) {
 		if value == "" {
 			continue
 		}
-		if _, err := p.Type.measure(string(value)); err != nil {
+		if _, err := p.Type.magnitude(string(value)); err != nil {
 			return fmt.Errorf("parameter %q: %w", p.Name, err)
 		}
 	}
@@ -53,19 +53,20 @@
 	return nil
 }
 
-// check tells whether value has the parameter's type and lies in its bounds.
+// check verifies that value has the parameter's type and satisfies its bounds and
+// choices.
 func (p *Parameter) check(value string) error {
-	size, err := p.Type.measure(value)
+	size, err := p.Type.magnitude(value)
 	if err != nil {
 		return fmt.Errorf("parameter %q: %w", p.Name, err)
 	}
 	if p.Min != "" {
-		if low, _ := p.Type.measure(string(p.Min)); size < low {
+		if low, _ := p.Type.magnitude(string(p.Min)); size < low {
 			return fmt.Errorf("parameter %q is %s, below its minimum %s", p.Name, value, p.Min)
 		}
 	}
 	if p.Max != "" {
-		if high, _ := p.Type.measure(string(p.Max)); size > high {
+		if high, _ := p.Type.magnitude(string(p.Max)); size > high {
 			return fmt.Errorf("parameter %q is %s, above its maximum %s", p.Name, value, p.Max)
 		}
 	}
@@ -75,13 +76,13 @@
 	return nil
 }
 
-func (t ParameterType) ordered() bool {
+func (t ParameterType) isOrdered() bool {
 	return t == TypeInteger || t == TypeNumber || t == TypeDuration
 }
 
-// measure checks the type of value and gives its size for comparison with the
-// bounds; strings and booleans have none.
-func (t ParameterType) measure(value string) (float64, error) {
+// magnitude checks the type of value and returns its magnitude for comparison with
+// the bounds; it returns 0 for strings and booleans.
+func (t ParameterType) magnitude(value string) (float64, error) {
 	switch t {
 	case TypeString:
 		return 0, nil
@@ -111,15 +112,16 @@
 
 func parseNumber(value string) (float64, error) {
 	parsed, err := strconv.ParseFloat(value, 64)
-	// NaN compares false with every bound, so it would pass all of them.
+	// Comparisons with NaN are false, so NaN would pass every bound.
 	if err != nil || parsed != parsed {
 		return 0, fmt.Errorf("%q is not a number", value)
 	}
 	return parsed, nil
 }
 
-// parameter gives the name that "${name}" refers to.
-func (s Setting) parameter() (string, bool) {
+// reference returns the name of the reference that a setting of the form "${name}"
+// refers to.
+func (s Setting) reference() (string, bool) {
 	inner, opened := strings.CutPrefix(string(s), "${")
 	name, closed := strings.CutSuffix(inner, "}")
 	return name, opened && closed
--- a/internal/team/policy.go
+++ b/internal/team/policy.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// BatchMode weighs batch throughput against harm to the online tail.
+// BatchMode is the trade-off between batch throughput and online tail latency.
 type BatchMode string
 
 // Batch modes.
 const (
 	BatchThroughput BatchMode = "throughput" // fill idle capacity first
-	BatchTail       BatchMode = "tail"       // keep the online tail short first
+	BatchTail       BatchMode = "tail"       // keep online tail latency low first
 )
 
-// Policy is a template resolved with a team's values: what the gates obey.
+// Policy is a template resolved with a team's values. Gates enforce it.
 type Policy struct {
 	Team     string
 	Template string
@@ -28,33 +28,33 @@
 
 // Model is a model that a team may use.
 type Model struct {
-	Name    string // as its callers send it
+	Name    string // the name that callers send
 	Service string // upstream service that runs it
 	Version string // empty: any version
 }
 
-// OnlineLimits bounds a team's online requests at each gate.
+// OnlineLimits limits a team's online requests at each gate.
 type OnlineLimits struct {
 	RequestsPerSecond float64
-	Burst             int // requests above the rate that pass at once
-	Concurrent        int // requests in progress
-	Queue             int // requests that wait for a slot
-	Priority          int // a higher one is served first
+	Burst             int // requests that may exceed the rate at once
+	Concurrent        int // maximum number of requests in progress
+	Queue             int // maximum number of requests waiting for a slot
+	Priority          int // higher values are served first
 	Deadline          time.Duration
 	MaxDeadline       time.Duration
 }
 
-// BatchPolicy bounds a team's batch work.
+// BatchPolicy limits a team's batch work.
 type BatchPolicy struct {
 	Mode        BatchMode
 	Headroom    float64       // share of a replica's slots that batch leaves free, 0 to 1
 	MaxShare    float64       // largest share of a replica's slots for batch, 0 to 1
-	MaxAttempts int           // runs of an item before it ends as failed
-	Deadline    time.Duration // of jobs that name none, from their creation
-	Retention   time.Duration // results stay readable for this long after the job ended
+	MaxAttempts int           // attempts at an item before it ends as failed
+	Deadline    time.Duration // default deadline of jobs, from their creation
+	Retention   time.Duration // time for which results are kept after the job's end
 }
 
-// Defaults of settings that a template leaves out.
+// Defaults of settings that a template does not set.
 const (
 	defaultRequestsPerSecond = 50
 	defaultBurst             = 100
@@ -69,8 +69,8 @@
 	defaultRetention         = 72 * time.Hour
 )
 
-// Upper bounds of settings: beyond them a value is a slip of the pen that would
-// exhaust a gate or a keeper.
+// Upper bounds of settings. Higher values are most likely typing errors and would
+// exhaust a gate or keeper.
 const (
 	maxRequestsPerSecond = 1e6
 	maxCount             = 1_000_000
@@ -78,7 +78,7 @@
 	maxDuration          = 90 * 24 * time.Hour
 )
 
-// Model finds the model that callers of the team name so.
+// Model returns the model with the name that the team's callers send.
 func (p *Policy) Model(name string) (Model, bool) {
 	for _, model := range p.Models {
 		if model.Name == name {
@@ -91,8 +91,8 @@
 // Service reports whether the team may call the plain service.
 func (p *Policy) Service(name string) bool { return slices.Contains(p.Services, name) }
 
-// Resolve gives the policy of a team made from template. It fails when a value
-// is missing, unknown or out of bounds.
+// Resolve returns the policy of a team created from the template. It returns an
+// error if a value is missing, unknown or out of bounds.
 func Resolve(template *Template, team *Team) (Policy, error) {
 	if err := template.checkValues(team.Values); err != nil {
 		return Policy{}, err
@@ -105,7 +105,7 @@
 func (t *Template) checkValues(values []Value) error {
 	given := make(map[string]string, len(values))
 	for _, value := range values {
-		if _, twice := given[value.Name]; twice {
+		if _, found := given[value.Name]; found {
 			return fmt.Errorf("parameter %q is given twice", value.Name)
 		}
 		given[value.Name] = value.Value
@@ -125,7 +125,7 @@
 		}
 	}
 	for _, value := range values {
-		if _, left := given[value.Name]; left {
+		if _, found := given[value.Name]; found {
 			return fmt.Errorf("template %q has no parameter %q", t.Name, value.Name)
 		}
 	}
@@ -148,7 +148,7 @@
 	return policy, r.err
 }
 
-// resolver evaluates settings and keeps the first error.
+// resolver evaluates settings and records the first error.
 type resolver struct {
 	template *Template
 	values   []Value
@@ -162,7 +162,7 @@
 }
 
 func (r *resolver) text(key string, setting Setting, fallback string) string {
-	name, isReference := setting.parameter()
+	name, isReference := setting.reference()
 	if !isReference {
 		if setting == "" {
 			return fallback
--- a/internal/team/registry.go
+++ b/internal/team/registry.go
@@ -7,45 +7,45 @@
 	"slateway.example/slateway/internal/apierr"
 )
 
-// Bounds of the history that a Registry keeps.
+// Limits of the history that a Registry keeps.
 const (
-	// maxAnswers bounds the first answers kept for resent changes: twelve days
-	// at 8,200 changes a day. A change resent later than that is judged anew,
-	// and its outdated base revision then refuses it.
+	// maxAnswers is the number of first answers kept for resent changes: twelve
+	// days at 8,200 changes per day. A change that is resent later is evaluated
+	// again and refused because its base revision is outdated.
 	maxAnswers = 100_000
-	// maxDeltas bounds the deltas kept for gates that were away; one that was
-	// away for longer takes a full copy.
+	// maxDeltas is the number of deltas kept for gates that were disconnected. A
+	// gate that has missed more deltas receives a full copy.
 	maxDeltas = 10_000
 )
 
-// Stamp says which change an object has from.
+// Stamp identifies the change that last edited an object.
 type Stamp struct {
 	Revision uint64 `cbor:"1,keyasint"`
 	ChangeID string `cbor:"2,keyasint"`
 	Operator string `cbor:"3,keyasint"`
 }
 
-// answer is the first answer to a change.
+// answer is the stored first answer to a change.
 type answer struct {
 	ChangeID    string  `cbor:"1,keyasint"`
 	Fingerprint uint64  `cbor:"2,keyasint"`
 	Outcome     Outcome `cbor:"3,keyasint"`
 }
 
-// Registry is the replicated configuration. It is deterministic: equal changes
-// in equal order give equal states and answers.
+// Registry is the replicated configuration. It is deterministic: the same changes
+// in the same order produce the same states and answers.
 type Registry struct {
 	revision  uint64
 	templates map[string]*Template
 	teams     map[string]*Team
 	stamps    map[objectKey]Stamp
-	tokens    map[TokenHash]string // team that owns it
-	deltas    []Delta              // the latest, in order of their revisions
-	answers   map[string]answer
-	answerIDs []string // of answers, oldest first
+	tokens    map[TokenHash]string // name of the team that owns the token
+	deltas    []Delta              // the latest deltas in order of revision
+	answers   map[string]answer    // by change ID
+	answerIDs []string             // change IDs in answers, oldest first
 }
 
-// NewRegistry makes an empty registry at revision 0.
+// NewRegistry creates an empty registry at revision 0.
 func NewRegistry() *Registry {
 	return &Registry{
 		templates: make(map[string]*Template),
@@ -56,14 +56,14 @@
 	}
 }
 
-// Revision is the number of accepted changes.
+// Revision returns the number of accepted changes.
 func (r *Registry) Revision() uint64 { return r.revision }
 
-// Apply decides a change and remembers the answer under its ID.
+// Apply accepts or refuses a change and stores the answer under the change's ID.
 //
-// An operator who lost the answer sends the change again, maybe to another
-// keeper. Judged anew it would lose against itself, as its base revision is
-// outdated by its own first copy; so the first answer is given again.
+// An operator who did not receive the answer resends the change, possibly to another
+// keeper. If the change were evaluated again, it would conflict with its own first
+// copy; therefore Apply returns the first answer again.
 func (r *Registry) Apply(change Change) Outcome {
 	fingerprint := change.fingerprint()
 	if first, found := r.answers[change.ID]; found {
@@ -79,11 +79,11 @@
 		outcome.Revision = r.revision
 		r.commit(&change)
 	}
-	r.remember(answer{ChangeID: change.ID, Fingerprint: fingerprint, Outcome: outcome})
+	r.storeAnswer(answer{ChangeID: change.ID, Fingerprint: fingerprint, Outcome: outcome})
 	return outcome
 }
 
-func (r *Registry) remember(first answer) {
+func (r *Registry) storeAnswer(first answer) {
 	r.answers[first.ChangeID] = first
 	r.answerIDs = append(r.answerIDs, first.ChangeID)
 	if len(r.answerIDs) > maxAnswers {
@@ -95,7 +95,7 @@
 func refused(refusal *apierr.Error) Outcome { return Outcome{Refusal: refusal} }
 
 func (r *Registry) decide(change *Change) Outcome {
-	key, ok := change.object()
+	key, ok := change.target()
 	if !ok || change.ID == "" {
 		return refused(apierr.New(apierr.Invalid, ReasonInvalidChange, "give a change ID and exactly one operation",
 			"change %q does not edit exactly one object", change.ID))
@@ -119,8 +119,9 @@
 	return ReasonUnknownTemplate
 }
 
-// conflict refuses a change whose base revision is not the object's. Of changes
-// with equal base revisions exactly one is decided first and wins.
+// conflict returns the refusal of a change whose base revision is not the object's
+// current revision. Of several changes with the same base revision only the first
+// one is accepted.
 func (r *Registry) conflict(change *Change, key objectKey) Outcome {
 	refusal := apierr.New(apierr.Conflict, ReasonConflict, "read it again and send a new change with its revision",
 		"%s is at revision %d, the change is based on %d", key, r.stamps[key].Revision, change.BaseRevision)
@@ -132,8 +133,8 @@
 	return Outcome{Refusal: refusal, Winner: &Winner{ChangeID: last.ChangeID, Operator: last.Operator, Revision: last.Revision}}
 }
 
-// lastChange finds the change that last edited the object, also one that
-// deleted it as long as its delta is kept.
+// lastChange returns the change that last edited the object. For a deleted object
+// it finds the deletion while its delta is kept.
 func (r *Registry) lastChange(key objectKey) (Stamp, bool) {
 	if current, found := r.stamps[key]; found {
 		return current, true
@@ -205,7 +206,7 @@
 	return nil
 }
 
-// commit puts an accepted change into the state and the delta log.
+// commit applies an accepted change to the state and appends it to the deltas.
 func (r *Registry) commit(change *Change) {
 	putTeam := r.withTokens(change.PutTeam)
 	delta := Delta{
@@ -234,9 +235,9 @@
 	}
 }
 
-// withTokens gives a team that is put without tokens the ones it has: operators
-// never see them, so they could not send them again. The change itself stays as
-// it was sent, or a resend of it would no longer be known.
+// withTokens returns the team with its existing tokens if it is put without any:
+// operators cannot read the tokens, so they could not send them again. It copies the
+// team, because a resent change must match the fingerprint of the original one.
 func (r *Registry) withTokens(put *Team) *Team {
 	if put == nil || len(put.Tokens) > 0 {
 		return put
@@ -250,7 +251,7 @@
 	return &copied
 }
 
-// replaceTeam puts team under its name, or removes the name if team is nil.
+// replaceTeam stores the team under the name, or removes the name if team is nil.
 func (r *Registry) replaceTeam(name string, team *Team) {
 	if old := r.teams[name]; old != nil {
 		for _, token := range old.Tokens {
@@ -267,20 +268,20 @@
 	}
 }
 
-// VersionedTemplate is a template with the revision at which it last changed,
-// the base revision of its next change.
+// VersionedTemplate is a template with the revision of its last change, which is
+// the base revision for its next change.
 type VersionedTemplate struct {
 	Template Template
 	Revision uint64
 }
 
-// VersionedTeam is a team with the revision at which it last changed.
+// VersionedTeam is a team with the revision of its last change.
 type VersionedTeam struct {
 	Team     Team
 	Revision uint64
 }
 
-// Templates lists all templates by name.
+// Templates returns all templates, ordered by name.
 func (r *Registry) Templates() []VersionedTemplate {
 	list := make([]VersionedTemplate, 0, len(r.templates))
 	for _, name := range slices.Sorted(maps.Keys(r.templates)) {
@@ -289,7 +290,7 @@
 	return list
 }
 
-// Teams lists all teams by name.
+// Teams returns all teams, ordered by name.
 func (r *Registry) Teams() []VersionedTeam {
 	list := make([]VersionedTeam, 0, len(r.teams))
 	for _, name := range slices.Sorted(maps.Keys(r.teams)) {
@@ -299,7 +300,7 @@
 	return list
 }
 
-// Team finds a team by name.
+// Team returns the team with the name.
 func (r *Registry) Team(name string) (VersionedTeam, bool) {
 	team, found := r.teams[name]
 	if !found {
--- a/internal/team/registry_test.go
+++ b/internal/team/registry_test.go
@@ -14,8 +14,8 @@
 	"slateway.example/slateway/internal/team"
 )
 
-// The seed is fixed, so that a run gives the same verdict each time; a longer
-// search takes -rapid.seed=0 -rapid.checks=20000.
+// The seed is fixed to make runs reproducible. For a longer search use
+// -rapid.seed=0 -rapid.checks=20000.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 const templateText = `
@@ -94,16 +94,16 @@
 	}
 }
 
-// machine drives a Registry and the View of a gate at random.
+// machine runs random operations on a Registry and the View of a gate.
 type machine struct {
 	registry *team.Registry
 	view     *team.View
 	template team.Template
 	sent     []team.Change
 	answers  map[string]team.Outcome
-	winners  map[string]string // change that won, by object and base revision
+	winners  map[string]string // ID of the accepted change, by object and base revision
 	accepted uint64
-	updates  []team.Update // answers still on their way to the gate
+	updates  []team.Update // answers in transit to the gate
 }
 
 func (m *machine) change(t *rapid.T) {
@@ -142,13 +142,13 @@
 	if outcome.Revision != m.accepted {
 		t.Fatalf("accepted change %d got revision %d", m.accepted, outcome.Revision)
 	}
-	// Base 0 creates: it is free again once the team was deleted.
+	// Base revision 0 creates an object and can be used again after its deletion.
 	if change.BaseRevision > 0 {
-		race := fmt.Sprint(name, "/", change.BaseRevision)
-		if winner, lost := m.winners[race]; lost {
-			t.Fatalf("changes %s and %s both won from base %s", winner, change.ID, race)
+		base := fmt.Sprint(name, "/", change.BaseRevision)
+		if winner, found := m.winners[base]; found {
+			t.Fatalf("changes %s and %s were both accepted from base %s", winner, change.ID, base)
 		}
-		m.winners[race] = change.ID
+		m.winners[base] = change.ID
 	}
 }
 
@@ -180,7 +180,7 @@
 
 func (m *machine) askFull(*rapid.T) { m.updates = append(m.updates, m.registry.Full()) }
 
-// answer delivers any answer that was ever given, also late and twice.
+// answer delivers any earlier answer to the gate, possibly late or repeatedly.
 func (m *machine) answer(t *rapid.T) {
 	if len(m.updates) == 0 {
 		t.Skip("no answer")
@@ -188,11 +188,11 @@
 	before := m.view.Revision()
 	m.view.Apply(rapid.SampledFrom(m.updates).Draw(t, "update"))
 	if m.view.Revision() < before {
-		t.Fatalf("the gate went back from revision %d to %d", before, m.view.Revision())
+		t.Fatalf("the gate returned from revision %d to %d", before, m.view.Revision())
 	}
 }
 
-// check compares the gate with the registry once it has caught up.
+// check compares the gate's view with the registry when both have the same revision.
 func (m *machine) check(t *rapid.T) {
 	if m.view.Revision() != m.registry.Revision() {
 		return
@@ -213,13 +213,13 @@
 	}
 }
 
-// Of operators with equal numbers exactly one wins; who resends gets the first
-// answer, also after restarts; a gate never goes back, in whatever order the
-// answers reach it.
+// Of changes with the same base revision exactly one is accepted. A resent change
+// gets the first answer, even after a restart. A gate never returns to an earlier
+// revision, in whatever order answers arrive.
 //
-// Red without its guards: Apply without the answers, "resent change got"; decide
-// without the base revision, "both won"; View.Apply without the comparison of
-// revisions, "the gate went back".
+// Without these checks the test fails as follows: the stored answers in Apply,
+// "resent change ... got"; the base revision in decide, "were both accepted"; the
+// comparison of revisions in View.Apply, "the gate returned".
 func TestChangesInAnyOrder(t *testing.T) {
 	template := parse(t, templateText)
 	rapid.Check(t, func(t *rapid.T) {
@@ -239,15 +239,15 @@
 	registry := team.NewRegistry()
 	template := parse(t, templateText)
 	registry.Apply(team.Change{ID: "c1", Operator: "ann", PutTemplate: &template})
-	lost := registry.Apply(team.Change{ID: "c2", Operator: "ben", PutTemplate: &template})
+	refused := registry.Apply(team.Change{ID: "c2", Operator: "ben", PutTemplate: &template})
 	want := &team.Winner{ChangeID: "c1", Operator: "ann", Revision: 1}
-	if !reflect.DeepEqual(lost.Winner, want) || !strings.Contains(lost.Refusal.Message, "c1") {
-		t.Fatalf("outcome %+v", lost)
+	if !reflect.DeepEqual(refused.Winner, want) || !strings.Contains(refused.Refusal.Message, "c1") {
+		t.Fatalf("outcome %+v", refused)
 	}
 	registry.Apply(team.Change{ID: "c3", Operator: "ann", BaseRevision: 1, DeleteTemplate: "newsdesk"})
-	lost = registry.Apply(team.Change{ID: "c4", Operator: "ben", BaseRevision: 1, PutTemplate: &template})
-	if lost.Winner == nil || lost.Winner.ChangeID != "c3" {
-		t.Fatalf("after a deletion: %+v", lost)
+	refused = registry.Apply(team.Change{ID: "c4", Operator: "ben", BaseRevision: 1, PutTemplate: &template})
+	if refused.Winner == nil || refused.Winner.ChangeID != "c3" {
+		t.Fatalf("after a deletion: %+v", refused)
 	}
 }
 
@@ -259,7 +259,7 @@
 	registry.Apply(team.Change{ID: "c2", PutTeam: &team.Team{Name: "council", Template: "newsdesk", Values: values}})
 	narrow := parse(t, strings.Replace(templateText, "max = 100", "max = 50", 1))
 	if outcome := registry.Apply(team.Change{ID: "c3", BaseRevision: 1, PutTemplate: &narrow}); outcome.Refusal == nil {
-		t.Fatal("a template that a team does not fit was accepted")
+		t.Fatal("a template that an existing team's values do not satisfy was accepted")
 	}
 	if outcome := registry.Apply(team.Change{ID: "c4", BaseRevision: 1, DeleteTemplate: "newsdesk"}); outcome.Refusal == nil {
 		t.Fatal("a template in use was deleted")
--- a/internal/team/snapshot.go
+++ b/internal/team/snapshot.go
@@ -23,7 +23,7 @@
 	Stamp Stamp `cbor:"2,keyasint"`
 }
 
-// Snapshot encodes the registry, first answers included.
+// Snapshot encodes the registry, including the stored answers.
 func (r *Registry) Snapshot() ([]byte, error) {
 	s := state{Revision: r.revision, Deltas: r.deltas}
 	for _, template := range r.Templates() {
--- a/internal/team/template.go
+++ b/internal/team/template.go
@@ -10,7 +10,7 @@
 	"slateway.example/slateway/internal/apierr"
 )
 
-// Reasons of refused templates, teams and changes.
+// Reasons for refusing templates, teams and changes.
 const (
 	ReasonInvalidTemplate apierr.Reason = "invalid_template"
 	ReasonInvalidTeam     apierr.Reason = "invalid_team"
@@ -23,8 +23,8 @@
 	ReasonChangeIDReused  apierr.Reason = "change_id_reused"
 )
 
-// Setting is one value of a template: a literal, or "${name}" for the value of
-// a parameter. An empty Setting means the default of its field.
+// Setting is one value of a template: a literal, or "${name}" for the value of a
+// parameter. An empty Setting means the field's default.
 type Setting string
 
 // UnmarshalTOML accepts a TOML string, integer, float or boolean.
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// Template says how the teams made from it are treated. Its settings may refer
-// to its parameters, for which each team gives values.
+// Template defines the policy of the teams created from it. Its settings may refer
+// to its parameters, for which each team provides values.
 type Template struct {
 	Name        string      `toml:"name"`
 	Description string      `toml:"description"`
@@ -58,10 +58,10 @@
 	Source string `toml:"-"`
 }
 
-// ModelRule lets a team use one model under the name that its callers send.
+// ModelRule allows a team to use one model.
 type ModelRule struct {
-	Name    Setting `toml:"name"`    // as in the "model" field of a request
-	Service Setting `toml:"service"` // upstream service that runs it; empty: the name
+	Name    Setting `toml:"name"`    // "model" field of callers' requests
+	Service Setting `toml:"service"` // upstream service that runs it; empty: same as the name
 	Version Setting `toml:"version"` // empty: any version
 }
 
@@ -86,22 +86,22 @@
 	Retention   Setting `toml:"retention"`
 }
 
-// ParseTemplate reads a template from TOML. An unknown key is an error, so that
-// a misspelt setting is not silently left at its default.
+// ParseTemplate parses a template from TOML. An unknown key is an error, so that a
+// misspelt setting does not silently keep its default.
 func ParseTemplate(name string, text []byte) (Template, error) {
 	var template Template
 	meta, err := toml.NewDecoder(bytes.NewReader(text)).Decode(&template)
 	if err != nil {
-		return Template{}, invalidTemplate("correct the TOML text", "template does not parse: %v", err)
+		return Template{}, invalidTemplate("correct the TOML text", "cannot parse the template: %v", err)
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return Template{}, invalidTemplate("remove or correct the key", "template has the unknown key %q", unknown[0].String())
+		return Template{}, invalidTemplate("remove or correct the key", "the template has the unknown key %q", unknown[0].String())
 	}
 	if template.Name == "" {
 		template.Name = name
 	}
 	if name != "" && template.Name != name {
-		return Template{}, invalidTemplate("apply it under its own name", "the text names the template %q, not %q", template.Name, name)
+		return Template{}, invalidTemplate("apply it under the name in the text", "the text names the template %q, not %q", template.Name, name)
 	}
 	template.Source = string(text)
 	if err := template.Validate(); err != nil {
@@ -110,8 +110,8 @@
 	return template, nil
 }
 
-// Validate checks the template on its own: its parameters, and that it resolves
-// with their defaults where all of them have one.
+// Validate checks the template without its teams: its parameters and references
+// and, if all parameters have defaults, that it resolves with these defaults.
 func (t *Template) Validate() error {
 	if !validName(t.Name) {
 		return invalidTemplate(nameRemedy, "template name %q is not valid", t.Name)
@@ -143,7 +143,7 @@
 
 func (t *Template) checkReferences(known map[string]bool) error {
 	for _, setting := range t.settings() {
-		name, isReference := setting.parameter()
+		name, isReference := setting.reference()
 		if isReference && !known[name] {
 			return invalidTemplate("declare the parameter", "template %q refers to the parameter %q, which it does not have", t.Name, name)
 		}
@@ -161,12 +161,13 @@
 	return append(all, b.Policy, b.Headroom, b.MaxShare, b.MaxAttempts, b.Deadline, b.Retention)
 }
 
-// nameRemedy states the rule of validName.
+// nameRemedy describes the names that validName accepts.
 const nameRemedy = "use 1 to 64 letters, digits, '-', '_' or '.'"
 
 const maxNameLength = 64
 
-// validName accepts names that need no quoting in URLs, logs and file names.
+// validName reports whether a name is valid. Valid names need no quoting in URLs,
+// logs and file names.
 func validName(name string) bool {
 	if name == "" || len(name) > maxNameLength {
 		return false
--- a/internal/team/update.go
+++ b/internal/team/update.go
@@ -1,7 +1,7 @@
 package team
 
-// Delta is one accepted change as the gates apply it. Exactly one of its four
-// objects is set.
+// Delta is one accepted change, in the form that gates apply. Exactly one of its
+// fields besides Stamp is set.
 type Delta struct {
 	Stamp
 	Template        *Template `cbor:"4,keyasint,omitempty"`
@@ -23,21 +23,22 @@
 	}
 }
 
-// Update brings a View from one revision to a later one.
+// Update advances a View from one revision to a later one.
 type Update struct {
-	Revision uint64  // of the configuration after the update
-	Deltas   []Delta // in order, the first one directly after the view's revision
-	Full     *Copy   // in place of deltas, when those are no longer kept
+	Revision uint64  // revision of the configuration after the update
+	Deltas   []Delta // consecutive deltas after the view's revision
+	Full     *Copy   // full copy instead of deltas, if they are no longer kept
 }
 
-// Copy is the whole configuration at one revision.
+// Copy is the complete configuration at one revision.
 type Copy struct {
 	Templates []VersionedTemplate
 	Teams     []VersionedTeam
 }
 
-// Since gives what changed after revision: the deltas while they are kept, else
-// a full copy. A revision that is not below the registry's gets an empty update.
+// Since returns the update from a revision to the current one: the deltas if they
+// are still kept, otherwise a full copy. The update is empty if the revision is not
+// below the registry's.
 func (r *Registry) Since(revision uint64) Update {
 	update := Update{Revision: r.revision}
 	if revision >= r.revision {
@@ -51,22 +52,22 @@
 	return update
 }
 
-// Full gives the whole configuration.
+// FullUpdate returns an update with the complete configuration.
 func (r *Registry) Full() Update {
 	return Update{Revision: r.revision, Full: &Copy{Templates: r.Templates(), Teams: r.Teams()}}
 }
 
-// View is a gate's copy of the configuration. It takes updates in order only
-// and never goes back to an earlier revision.
+// View is a gate's copy of the configuration. It applies updates only in order and
+// never returns to an earlier revision.
 type View struct {
 	revision  uint64
 	templates map[string]VersionedTemplate
 	teams     map[string]VersionedTeam
 	owners    map[TokenHash]string
-	policies  map[string]*Policy // resolved so far, by team
+	policies  map[string]*Policy // cache of resolved policies by team
 }
 
-// NewView makes an empty view at revision 0.
+// NewView creates an empty view at revision 0.
 func NewView() *View {
 	v := &View{}
 	v.clear()
@@ -80,15 +81,16 @@
 	v.policies = make(map[string]*Policy)
 }
 
-// Revision is the revision that the view has reached.
+// Revision returns the current revision of the view.
 func (v *View) Revision() uint64 { return v.revision }
 
-// Apply takes an update and reports whether the view moved.
+// Apply applies an update and reports whether the view's revision changed.
 //
-// Answers of two keepers can arrive out of order, the later one from a leader
-// that was cut off. Applied as they come, an accepted change would revert on
-// this gate. An update that does not lead forward, and a delta that does not
-// follow directly, are therefore left out; the next poll asks again.
+// Answers of two keepers can arrive out of order, and the later one can come from a
+// leader that was partitioned. Applying them in order of arrival could revert an
+// accepted change on this gate. Apply therefore ignores an update to a revision that
+// is not later, and a delta that is not the next one; the next poll requests them
+// again.
 func (v *View) Apply(update Update) bool {
 	if update.Revision <= v.revision {
 		return false
@@ -104,7 +106,7 @@
 		if delta.Revision != v.revision+1 {
 			continue
 		}
-		v.step(delta)
+		v.applyDelta(delta)
 		v.revision = delta.Revision
 	}
 	return v.revision != before
@@ -120,7 +122,7 @@
 	}
 }
 
-func (v *View) step(delta *Delta) {
+func (v *View) applyDelta(delta *Delta) {
 	switch {
 	case delta.Template != nil:
 		v.templates[delta.Template.Name] = VersionedTemplate{Template: *delta.Template, Revision: delta.Revision}
@@ -150,14 +152,14 @@
 	delete(v.policies, name)
 }
 
-// Authenticate finds the team that owns a bearer token.
+// Authenticate returns the name of the team that owns a bearer token.
 func (v *View) Authenticate(token string) (team string, ok bool) {
 	team, ok = v.owners[HashToken(token)]
 	return team, ok
 }
 
-// Policies gives the policies of all teams, in no order. The results are shared
-// and must not be changed.
+// Policies returns the policies of all teams in no particular order. The results
+// are shared and must not be modified.
 func (v *View) Policies() []*Policy {
 	policies := make([]*Policy, 0, len(v.teams))
 	for name := range v.teams {
@@ -168,8 +170,8 @@
 	return policies
 }
 
-// Policy gives the policy of a team. The result is shared and must not be
-// changed.
+// Policy returns the policy of a team. The result is shared and must not be
+// modified.
 func (v *View) Policy(name string) (*Policy, bool) {
 	if policy, found := v.policies[name]; found {
 		return policy, true
