--- a/internal/job/property_test.go
+++ b/internal/job/property_test.go
@@ -33,8 +33,8 @@
 	return job.Ref{Segment: 1, Length: uint32(len(data)), Offset: uint64(len(m.results) - 1)}
 }
 
-func (m *memoryStorage) ReadPart(ref job.Ref) []byte   { return m.parts[ref.Offset] }
-func (m *memoryStorage) ReadRecord(ref job.Ref) []byte { return m.results[ref.Offset] }
+func (m *memoryStorage) ReadPart(ref job.Ref) []byte            { return m.parts[ref.Offset] }
+func (m *memoryStorage) ReadRecord(ref job.Ref) []byte          { return m.results[ref.Offset] }
 func (m *memoryStorage) ReadResult(ref job.Ref) ([]byte, error) { return m.results[ref.Offset], nil }
 
 func (m *memoryStorage) stored(t *rapid.T, ref job.Ref) (s job.StoredResult) {
