--- a/cmd/capacity/records.go
+++ b/cmd/capacity/records.go
@@ -62,7 +62,7 @@
 		a := replicaRecord(i)
 		digest := upstream.LoadDigest{Replica: a.Replica, Incarnation: a.Incarnation, Sequence: 2, Load: a.Load}
 		digest.Load.Running = i % 32
-		if _, err := table.Report(now, digest); err != nil {
+		if _, err := table.ApplyLoad(now, digest); err != nil {
 			return err
 		}
 	}
@@ -111,7 +111,7 @@
 			return err
 		}
 		keeper.add(size, (heapBytes()-heap)/1024)
-		encoded := codec.MustMarshal(registry.Full())
+		encoded := codec.MustMarshal(registry.FullUpdate())
 		full.add(size, float64(len(encoded))/1024)
 		packed.add(size, float64(compressedSize(encoded))/1024)
 		heap = heapBytes()
--- a/internal/daemon/sitegate.go
+++ b/internal/daemon/sitegate.go
@@ -134,7 +134,7 @@
 		Lifetime: s.Directory.AnswerLifetime, Limit: s.Directory.MaxEntries, Metrics: site.metrics,
 	}, directory.New(uint64(time.Now().UnixMilli()), random))
 	g.runner = batch.New(batch.Options{
-		Session:     keepers.NewSession(job.Run{VM: s.VM.Name, Started: started}),
+		Session:     keepers.NewSession(job.GateRun{VM: s.VM.Name, Started: started}),
 		Router:      g.router,
 		Log:         site.log.Logger,
 		Route:       g.jobs.Route,
--- a/internal/gate/batch/fence_test.go
+++ b/internal/gate/batch/fence_test.go
@@ -53,7 +53,7 @@
 	g := NewWithT(t)
 	items := leased("job-a", 2)
 	for i := range items {
-		items[i].Lease.OnlyAnswersCount = true
+		items[i].Lease.CountOnlyAnswered = true
 	}
 	k := &keepers{items: items}
 	started := make(chan func() *apierr.Error, 8)
@@ -73,7 +73,7 @@
 	for _, result := range k.reported() {
 		g.Expect(result.Outcome).To(Equal(job.OutcomeReturned))
 		g.Expect(string(result.Partial)).To(Equal("half"))
-		g.Expect(result.Reached).To(Equal(4))
+		g.Expect(result.PartialEnd).To(Equal(4))
 	}
 }
 
--- a/internal/gate/batch/item.go
+++ b/internal/gate/batch/item.go
@@ -45,7 +45,7 @@
 	}
 	r.options.Log.Info("item ends", telemetry.RequestID(reported.CustomID), zap.String("job", string(reported.Job)),
 		zap.Int("attempt", reported.Attempt), zap.String("outcome", string(reported.Outcome)), telemetry.Reason(string(reported.Reason)),
-		zap.Int("reached", reported.Reached), zap.Duration("after", time.Since(began)), zap.Duration("late", overdue))
+		zap.Int("reached", reported.PartialEnd), zap.Duration("after", time.Since(began)), zap.Duration("late", overdue))
 }
 
 func (r *Runner) run(ctx context.Context, leased *keeperapi.LeasedItem) (proxy.BatchResult, error) {
@@ -54,7 +54,7 @@
 		return proxy.BatchResult{Outcome: proxy.BatchNotRun, Err: apierr.From(err)}, nil
 	}
 	item.CheckLease = r.checkLease
-	if leased.Lease.OnlyAnswersCount {
+	if leased.Lease.CountOnlyAnswered {
 		item.SaveEvery = saveInterval
 		item.Save = func(part proxy.PartialAnswer) { r.savePartial(&leased.Lease, part) }
 	}
@@ -71,8 +71,8 @@
 // parts after it, and the item resumes from the last part stored.
 func (r *Runner) savePartial(lease *job.Leased, part proxy.PartialAnswer) {
 	r.results.add(job.Result{
-		Job: lease.Job, Item: lease.Item, Attempt: lease.Attempt, Outcome: job.OutcomeReached,
-		From: part.From, Reached: part.Reached, Partial: []byte(part.Text),
+		Job: lease.Job, Item: lease.Item, Attempt: lease.Attempt, Outcome: job.OutcomeProgress,
+		PartialFrom: part.From, PartialEnd: part.Reached, Partial: []byte(part.Text),
 	})
 }
 
@@ -98,7 +98,7 @@
 	}
 	return proxy.BatchItem{
 		TargetTime:       lease.Deadline.Time(),
-		ExpectedDuration: lease.Takes,
+		ExpectedDuration: lease.ExpectedRunTime,
 		ID:               fmt.Sprintf("%s/%d/%d", lease.Job, lease.Item, lease.Attempt),
 		Team:             lease.Team,
 		Service:          lease.Queue.Service,
--- a/internal/gate/batch/outcome.go
+++ b/internal/gate/batch/outcome.go
@@ -18,12 +18,12 @@
 		reported.Outcome = job.OutcomeReturned
 	case result.Outcome == proxy.BatchNotRun:
 		reported.Outcome = job.OutcomeReturned
-		if lease.OnlyAnswersCount {
-			reported.Partial, reported.Reached = result.Body, result.Reached
+		if lease.CountOnlyAnswered {
+			reported.Partial, reported.PartialEnd = result.Body, result.Reached
 		}
 	case result.Outcome == proxy.BatchDone:
 		setAnsweredOutcome(reported, lease, result)
-	case lease.OnlyAnswersCount:
+	case lease.CountOnlyAnswered:
 		setUnansweredOutcome(reported, result)
 	default:
 		setFailedOutcome(reported, lease, result.Err)
@@ -35,7 +35,7 @@
 func setUnansweredOutcome(reported *job.Result, result *proxy.BatchResult) {
 	failure := result.Err
 	reported.Outcome = job.OutcomeReturned
-	reported.Partial, reported.Reached = result.Body, result.Reached
+	reported.Partial, reported.PartialEnd = result.Body, result.Reached
 	if failure.Kind == apierr.Deadline {
 		reported.Outcome = job.OutcomeFailed
 		reported.Reason = failure.Reason
@@ -51,7 +51,7 @@
 		reported.Outcome = job.OutcomeFailed
 		reported.Reason = reasonUpstreamStatus
 		reported.Message = http.StatusText(result.Status)
-		if lease.OnlyAnswersCount && result.Status >= http.StatusInternalServerError {
+		if lease.CountOnlyAnswered && result.Status >= http.StatusInternalServerError {
 			reported.Outcome = job.OutcomeRetry // a possibly temporary failure, which counts as an attempt
 		}
 	}
--- a/internal/gate/batch/runner.go
+++ b/internal/gate/batch/runner.go
@@ -20,7 +20,7 @@
 
 // Session is the gate's session with the keepers.
 type Session interface {
-	Lease(ctx context.Context, wants []job.Want, wait time.Duration) ([]keeperapi.LeasedItem, error)
+	Lease(ctx context.Context, wants []job.QueueDemand, wait time.Duration) ([]keeperapi.LeasedItem, error)
 	Heartbeat(ctx context.Context, running []job.ID) (ended []job.ID, err error)
 	Complete(ctx context.Context, results []job.Result) error
 	Close(ctx context.Context) error
@@ -196,7 +196,7 @@
 	}
 }
 
-func (r *Runner) lease(ctx context.Context, wants []job.Want) ([]keeperapi.LeasedItem, error) {
+func (r *Runner) lease(ctx context.Context, wants []job.QueueDemand) ([]keeperapi.LeasedItem, error) {
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
 	return r.options.Session.Lease(ctx, wants, leaseWait)
@@ -205,7 +205,7 @@
 // wants returns how many items of each queue of the service to lease: those that
 // could start now and a few more, so that a freed slot need not wait for the
 // keepers.
-func (r *Runner) wants(service string) []job.Want {
+func (r *Runner) wants(service string) []job.QueueDemand {
 	target := r.options.Router.BatchTarget(service, route.ThroughputPolicy())
 	holds := r.heldCount(service)
 	count := min(target-holds, r.options.LeaseItems)
@@ -213,9 +213,9 @@
 		return nil
 	}
 	queues := r.queues(service)
-	wants := make([]job.Want, len(queues))
+	wants := make([]job.QueueDemand, len(queues))
 	for i, queue := range queues {
-		wants[i] = job.Want{Queue: queue, Max: count, Held: holds}
+		wants[i] = job.QueueDemand{Queue: queue, Max: count, Held: holds}
 	}
 	return wants
 }
--- a/internal/gate/batch/runner_test.go
+++ b/internal/gate/batch/runner_test.go
@@ -34,7 +34,7 @@
 	closed       bool
 }
 
-func (k *keepers) Lease(ctx context.Context, wants []job.Want, wait time.Duration) ([]keeperapi.LeasedItem, error) {
+func (k *keepers) Lease(ctx context.Context, wants []job.QueueDemand, wait time.Duration) ([]keeperapi.LeasedItem, error) {
 	k.mu.Lock()
 	count := min(wants[0].Max, len(k.items))
 	items := k.items[:count]
--- a/internal/gate/exchange/calls.go
+++ b/internal/gate/exchange/calls.go
@@ -24,15 +24,15 @@
 
 // UsageResponse returns the batch work that still runs on each replica.
 type UsageResponse struct {
-	Batch []upstream.Feeding `cbor:"1,keyasint"`
+	Batch []upstream.OwnerLoad `cbor:"1,keyasint"`
 }
 
 // CrashReportsRequest spreads crash reports. Relay asks the receiver to pass them on to
 // the other gates of its place.
 type CrashReportsRequest struct {
-	Service string            `cbor:"1,keyasint"`
-	Reports []upstream.Strike `cbor:"2,keyasint"`
-	Relay   bool              `cbor:"3,keyasint"`
+	Service string                 `cbor:"1,keyasint"`
+	Reports []upstream.CrashRecord `cbor:"2,keyasint"`
+	Relay   bool                   `cbor:"3,keyasint"`
 }
 
 // CrashReportsResponse acknowledges that the crash reports were applied.
@@ -50,7 +50,7 @@
 }
 
 // SendUsage sends usages to the gate that owns the replicas.
-func (e *Exchange) SendUsage(ctx context.Context, gate string, usages []proxy.LoadReport) ([]upstream.Feeding, error) {
+func (e *Exchange) SendUsage(ctx context.Context, gate string, usages []proxy.LoadReport) ([]upstream.OwnerLoad, error) {
 	address, known := e.addressOf(gate)
 	if !known {
 		return nil, fmt.Errorf("no peers address known for gate %s; it is neither a member of this place nor a contact of another", gate)
@@ -69,7 +69,7 @@
 // SpreadCrashReports sends crash reports to the gates of the own place and to one gate of
 // every other place, which relays them there. It returns when all have answered or ctx has
 // ended.
-func (e *Exchange) SpreadCrashReports(ctx context.Context, service string, reports []upstream.Strike) {
+func (e *Exchange) SpreadCrashReports(ctx context.Context, service string, reports []upstream.CrashRecord) {
 	request := CrashReportsRequest{Service: service, Reports: reports}
 	var calls errgroup.Group
 	for _, address := range e.placeAddresses() {
--- a/internal/gate/exchange/publish.go
+++ b/internal/gate/exchange/publish.go
@@ -110,8 +110,8 @@
 func (e *Exchange) publishCrashReports(known []upstream.Digest) {
 	var reports []upstream.Digest
 	for _, digest := range known {
-		if len(digest.Strikes) > 0 {
-			reports = append(reports, upstream.Digest{Service: digest.Service, Strikes: digest.Strikes})
+		if len(digest.Crashes) > 0 {
+			reports = append(reports, upstream.Digest{Service: digest.Service, Crashes: digest.Crashes})
 		}
 	}
 	data := codec.MustMarshal(reports)
--- a/internal/gate/exchange/rows.go
+++ b/internal/gate/exchange/rows.go
@@ -78,7 +78,7 @@
 func ownedBatchRows(known []upstream.Digest) []fedRow {
 	var rows []fedRow
 	for _, digest := range known {
-		for _, f := range digest.Feeding {
+		for _, f := range digest.OwnerLoads {
 			rows = append(rows, fedRow{Service: shortHash(digest.Service), Replica: shortHash(string(f.Replica)), Batch: f.Batch})
 		}
 	}
@@ -146,7 +146,7 @@
 	}
 	for _, r := range e.router.Upstreams() {
 		if count, found := batch[key{shortHash(r.Service), shortHash(string(r.Replica))}]; found {
-			e.router.ApplyOwnerLoad(r.Service, upstream.Feeding{Replica: r.Replica, Batch: count})
+			e.router.ApplyOwnerLoad(r.Service, upstream.OwnerLoad{Replica: r.Replica, Batch: count})
 		}
 	}
 }
--- a/internal/gate/jobs.go
+++ b/internal/gate/jobs.go
@@ -102,14 +102,14 @@
 		stored[i] = job.Item{CustomID: item.ID, Endpoint: item.Path, Header: item.Header, Body: item.Body, Tokens: item.Tokens}
 	}
 	spec := job.Spec{
-		Team:             named.Host,
-		Key:              named.key(),
-		Owner:            named.Team,
-		Queue:            job.Queue{Service: found.Pick(rand.Float64(), j.options.Router.Available)},
-		Within:           found.CompletionTarget,
-		MaxAttempts:      max(1, found.MaxAttempts),
-		Retention:        j.options.Retention,
-		OnlyAnswersCount: true,
+		Team:              named.Host,
+		Key:               named.key(),
+		Owner:             named.Team,
+		Queue:             job.Queue{Service: found.Pick(rand.Float64(), j.options.Router.Available)},
+		Within:            found.CompletionTarget,
+		MaxAttempts:       max(1, found.MaxAttempts),
+		Retention:         j.options.Retention,
+		CountOnlyAnswered: true,
 	}
 	return &job.Submission{
 		Spec: spec, Tokens: tokens, Items: codec.MustMarshal(stored), Quota: found.QuotaTokens, GiveUpAfter: found.GiveUpAfter,
@@ -177,18 +177,18 @@
 		Team:               found.Name,
 		Service:            j.service(found, lease.Queue.Service),
 		Body:               item.Body,
-		TargetTime:         lease.ByClock(lease.Deadline, now),
-		ExpectedDuration:   lease.Takes,
-		Deadline:           lease.ByClock(lease.GiveUp, now),
+		TargetTime:         lease.LocalTime(lease.Deadline, now),
+		ExpectedDuration:   lease.ExpectedRunTime,
+		Deadline:           lease.LocalTime(lease.GiveUpAt, now),
 		Repeatable:         true,
-		RetryUntilAnswered: lease.OnlyAnswersCount,
+		RetryUntilAnswered: lease.CountOnlyAnswered,
 		Policy:             route.ThroughputPolicy(),
 		Protocol:           j.options.Protocol(lease.Team, lease.Owner, item),
-		Reached:            lease.Reached,
+		Reached:            lease.PartialEnd,
 		Text:               string(leased.Partial),
 	}
 	j.options.Log.Info("item starts", telemetry.RequestID(item.CustomID), zap.String("job", string(lease.Job)),
-		zap.Int("attempt", lease.Attempt), zap.Int("reached", lease.Reached), zap.String("service", routed.Service), zap.Uint64("routes", matcher.Version()))
+		zap.Int("attempt", lease.Attempt), zap.Int("reached", lease.PartialEnd), zap.String("service", routed.Service), zap.Uint64("routes", matcher.Version()))
 	return routed, nil
 }
 
--- a/internal/gate/proxy/gates_test.go
+++ b/internal/gate/proxy/gates_test.go
@@ -28,11 +28,11 @@
 		gates = append(gates, route.Gate{ID: id, Place: "glas-a"})
 		routers = append(routers, proxy.New(proxy.Options{
 			Self: id, Place: "glas-a", Route: route.Config{FirstTimeout: wait},
-			SendReports: func(_ context.Context, gate string, u []proxy.LoadReport) ([]upstream.Feeding, error) {
+			SendReports: func(_ context.Context, gate string, u []proxy.LoadReport) ([]upstream.OwnerLoad, error) {
 				to, err := strconv.Atoi(gate[len("gate-"):])
 				return routers[to].ApplyLoadReports(u), err
 			},
-			BroadcastCrashes: func(_ context.Context, service string, crashes []upstream.Strike) {
+			BroadcastCrashes: func(_ context.Context, service string, crashes []upstream.CrashRecord) {
 				for other, r := range routers {
 					if other != i {
 						r.RecordCrashes(service, crashes)
--- a/internal/gate/proxy/options.go
+++ b/internal/gate/proxy/options.go
@@ -72,7 +72,7 @@
 	SendReports SendReports
 	// BroadcastCrashes sends crash records to the live gates. It returns when they
 	// have received them or ctx has ended.
-	BroadcastCrashes func(ctx context.Context, service string, crashes []upstream.Strike)
+	BroadcastCrashes func(ctx context.Context, service string, crashes []upstream.CrashRecord)
 
 	// Probe checks whether the process at an address is alive; nil: by requesting
 	// PathLoad.
@@ -119,7 +119,7 @@
 		o.Log = zap.NewNop()
 	}
 	if o.BroadcastCrashes == nil {
-		o.BroadcastCrashes = func(context.Context, string, []upstream.Strike) {}
+		o.BroadcastCrashes = func(context.Context, string, []upstream.CrashRecord) {}
 	}
 	o.Route.Self = o.Self
 	o.Route.Place = o.Place
--- a/internal/gate/proxy/router.go
+++ b/internal/gate/proxy/router.go
@@ -158,21 +158,21 @@
 }
 
 // ApplyOwnerLoad applies the batch load that a replica's owner gate reports.
-func (r *Router) ApplyOwnerLoad(service string, ownerLoad upstream.Feeding) {
+func (r *Router) ApplyOwnerLoad(service string, ownerLoad upstream.OwnerLoad) {
 	if s := r.findShard(service); s != nil {
 		s.step(route.OwnerReported{Load: ownerLoad})
 	}
 }
 
 // applyAcknowledgement applies an owner gate's acknowledgement of a load report.
-func (r *Router) applyAcknowledgement(report LoadReport, acknowledged upstream.Feeding) {
+func (r *Router) applyAcknowledgement(report LoadReport, acknowledged upstream.OwnerLoad) {
 	if s := r.findShard(report.Service); s != nil {
 		s.step(route.OwnerReported{Load: acknowledged, Acknowledges: report.Number, ReportedOnline: report.Online})
 	}
 }
 
 // RecordCrashes applies crash records that another gate has broadcast.
-func (r *Router) RecordCrashes(service string, crashes []upstream.Strike) {
+func (r *Router) RecordCrashes(service string, crashes []upstream.CrashRecord) {
 	r.findOrAddShard(service).step(route.CrashesReported{Crashes: crashes})
 }
 
@@ -187,7 +187,7 @@
 	for _, s := range r.sortedShards() {
 		d, version := s.changes(since[s.service])
 		next[s.service] = version
-		if len(d.Identity)+len(d.Loads)+len(d.Strikes)+len(d.Feeding) > 0 {
+		if len(d.Identity)+len(d.Loads)+len(d.Crashes)+len(d.OwnerLoads) > 0 {
 			digests = append(digests, d)
 		}
 	}
--- a/internal/gate/proxy/shard.go
+++ b/internal/gate/proxy/shard.go
@@ -133,7 +133,7 @@
 	return done
 }()
 
-func (s *shard) broadcastCrashes(crashes []upstream.Strike) chan struct{} {
+func (s *shard) broadcastCrashes(crashes []upstream.CrashRecord) chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -232,11 +232,11 @@
 	for _, l := range d.Loads {
 		s.step(route.Reported{Digest: l})
 	}
-	for _, f := range d.Feeding {
+	for _, f := range d.OwnerLoads {
 		s.step(route.OwnerReported{Load: f})
 	}
-	if len(d.Strikes) > 0 {
-		s.step(route.CrashesReported{Crashes: d.Strikes})
+	if len(d.Crashes) > 0 {
+		s.step(route.CrashesReported{Crashes: d.Crashes})
 	}
 }
 
@@ -247,7 +247,7 @@
 	for _, v := range s.routing.Replicas() {
 		list = append(list, Replica{
 			Announcement: v.Entry.Announcement,
-			Seen:         v.Entry.Seen,
+			Seen:         v.Entry.LastAnnounced,
 			Suspect:      v.Suspect,
 			Online:       v.Online,
 			Batch:        v.Batch,
--- a/internal/gate/proxy/usage.go
+++ b/internal/gate/proxy/usage.go
@@ -24,18 +24,18 @@
 // ApplyLoadReports applies another gate's load reports on replicas that this gate
 // owns. It preempts batch items whose slots are needed before it returns. Its result
 // acknowledges the reports, in their order, with the load left on each replica.
-func (r *Router) ApplyLoadReports(reports []LoadReport) []upstream.Feeding {
-	acknowledged := make([]upstream.Feeding, 0, len(reports))
+func (r *Router) ApplyLoadReports(reports []LoadReport) []upstream.OwnerLoad {
+	acknowledged := make([]upstream.OwnerLoad, 0, len(reports))
 	for _, u := range reports {
 		acknowledged = append(acknowledged, r.applyLoadReport(u))
 	}
 	return acknowledged
 }
 
-func (r *Router) applyLoadReport(u LoadReport) upstream.Feeding {
+func (r *Router) applyLoadReport(u LoadReport) upstream.OwnerLoad {
 	s := r.findShard(u.Service)
 	if s == nil {
-		return upstream.Feeding{Replica: u.Replica}
+		return upstream.OwnerLoad{Replica: u.Replica}
 	}
 	s.step(route.LoadReported{Gate: u.Gate, Replica: u.Replica, Online: u.Online, Batch: u.Batch})
 	s.mu.Lock()
@@ -45,7 +45,7 @@
 
 // SendReports sends load reports to another gate's Router.ApplyLoadReports and
 // returns its acknowledgements.
-type SendReports func(ctx context.Context, gate string, reports []LoadReport) ([]upstream.Feeding, error)
+type SendReports func(ctx context.Context, gate string, reports []LoadReport) ([]upstream.OwnerLoad, error)
 
 // reportTimeout limits the sending of one message. After a loss, the next change or the
 // periodic refresh of package route sends the load again.
@@ -56,7 +56,7 @@
 // gate sends no more messages than the other gate answers.
 type reportSender struct {
 	send        SendReports
-	acknowledge func(report LoadReport, acknowledged upstream.Feeding) // applies the owner gate's answer
+	acknowledge func(report LoadReport, acknowledged upstream.OwnerLoad) // applies the owner gate's answer
 
 	mu    sync.Mutex
 	gates map[string]*reportQueue
@@ -67,7 +67,7 @@
 	sending bool
 }
 
-func newReportSender(send SendReports, acknowledge func(LoadReport, upstream.Feeding)) *reportSender {
+func newReportSender(send SendReports, acknowledge func(LoadReport, upstream.OwnerLoad)) *reportSender {
 	return &reportSender{send: send, acknowledge: acknowledge, gates: make(map[string]*reportQueue)}
 }
 
--- a/internal/gate/proxy/weigh_test.go
+++ b/internal/gate/proxy/weigh_test.go
@@ -114,7 +114,7 @@
 		gates = append(gates, route.Gate{ID: id, Place: "glas-a"})
 		router := proxy.New(proxy.Options{
 			Self: id, Place: "glas-a", Seed: fleetSeed, Metrics: f, Route: config,
-			SendReports: func(_ context.Context, gate string, u []proxy.LoadReport) ([]upstream.Feeding, error) {
+			SendReports: func(_ context.Context, gate string, u []proxy.LoadReport) ([]upstream.OwnerLoad, error) {
 				return f.gates[gate[1]-'0'].ApplyLoadReports(u), nil
 			},
 		})
--- a/internal/job/complete.go
+++ b/internal/job/complete.go
@@ -42,7 +42,7 @@
 	}
 	held, leased := job.leases[result.Item]
 	current := leased && held.heldBy(id, result.Attempt)
-	if result.Outcome == OutcomeReached {
+	if result.Outcome == OutcomeProgress {
 		if current {
 			t.keepPartial(job, result)
 		}
@@ -125,8 +125,8 @@
 // lost or is delayed. The records count as used until the job is deleted.
 func (t *Table) keepPartial(job *entry, result *Result) {
 	known := job.partials[result.Item]
-	follows := result.From == 0 || result.From == known.End
-	if len(result.Partial) == 0 || result.Reached <= known.End || !follows {
+	follows := result.PartialFrom == 0 || result.PartialFrom == known.End
+	if len(result.Partial) == 0 || result.PartialEnd <= known.End || !follows {
 		return
 	}
 	ref := t.storage.AppendResult(result.Partial)
@@ -134,8 +134,8 @@
 	if job.partials == nil {
 		job.partials = make(map[uint32]partial)
 	}
-	next := partial{End: result.Reached, Ref: ref}
-	if result.From > 0 {
+	next := partial{End: result.PartialEnd, Ref: ref}
+	if result.PartialFrom > 0 {
 		next.Ref = known.Ref
 		next.More = append(slices.Clone(known.More), ref)
 	}
--- a/internal/job/lease.go
+++ b/internal/job/lease.go
@@ -20,7 +20,7 @@
 }
 
 // QueueDemand requests items of one queue.
-type Want struct {
+type QueueDemand struct {
 	Queue Queue `cbor:"1,keyasint"`
 	Max   int   `cbor:"2,keyasint"`
 	Held  int   `cbor:"3,keyasint,omitempty"` // items of the queue that the gate already holds
@@ -39,27 +39,27 @@
 	Part          Ref            `cbor:"9,keyasint"`  // the part that contains the item
 	Index         uint32         `cbor:"10,keyasint"` // within the part
 	// GiveUpAt and CountOnlyAnswered are copied from the job's Spec.
-	GiveUp           instant.Micros `cbor:"11,keyasint,omitempty"`
-	OnlyAnswersCount bool           `cbor:"12,keyasint,omitempty"`
+	GiveUpAt          instant.Micros `cbor:"11,keyasint,omitempty"`
+	CountOnlyAnswered bool           `cbor:"12,keyasint,omitempty"`
 	// PartialEnd and Partial describe the partial answer of earlier attempts.
-	Reached int   `cbor:"13,keyasint,omitempty"` // its last event or token
-	Partial []Ref `cbor:"16,keyasint,omitempty"` // its pieces in order
+	PartialEnd int   `cbor:"13,keyasint,omitempty"` // its last event or token
+	Partial    []Ref `cbor:"16,keyasint,omitempty"` // its pieces in order
 	// ExpectedRunTime is the mean time from the lease of the queue's items to their
 	// end; 0 means unknown.
-	Takes time.Duration `cbor:"15,keyasint,omitempty"`
-	Owner string        `cbor:"17,keyasint,omitempty"` // copied from the job's Spec
+	ExpectedRunTime time.Duration `cbor:"15,keyasint,omitempty"`
+	Owner           string        `cbor:"17,keyasint,omitempty"` // copied from the job's Spec
 	// LeasedAt is the time of the lease by the same clock as Deadline and GiveUpAt;
 	// zero from keepers that do not send it.
-	At instant.Micros `cbor:"18,keyasint,omitempty"`
+	LeasedAt instant.Micros `cbor:"18,keyasint,omitempty"`
 }
 
 // LocalTime converts a time of the lease to the receiving gate's clock, assuming
 // that the lease was made just now.
-func (l *Leased) ByClock(m instant.Micros, now time.Time) time.Time {
-	if m == 0 || l.At == 0 {
+func (l *Leased) LocalTime(m instant.Micros, now time.Time) time.Time {
+	if m == 0 || l.LeasedAt == 0 {
 		return m.Time()
 	}
-	return now.Add(m.Sub(l.At))
+	return now.Add(m.Sub(l.LeasedAt))
 }
 
 // endLostLease ends the lease of an item whose gate is lost.
@@ -75,7 +75,7 @@
 		t.endItem(job, item, attempt, now, OutcomeUnknown, ReasonOutcomeUnknown, "the gate that ran the item was lost before it reported")
 		return
 	}
-	if job.spec.OnlyAnswersCount {
+	if job.spec.CountOnlyAnswered {
 		t.returnUncounted(job, item, attempt, now)
 		return
 	}
@@ -133,7 +133,7 @@
 // them, and their jobs would never end. The same number therefore returns the
 // same items, as far as they are still leased, and a delayed copy of an earlier
 // request returns none.
-func (t *Table) Lease(id SessionID, request uint64, demands []Want, now instant.Micros) (items []Leased, fulfilled bool, refusal *apierr.Error) {
+func (t *Table) Lease(id SessionID, request uint64, demands []QueueDemand, now instant.Micros) (items []Leased, fulfilled bool, refusal *apierr.Error) {
 	holder, found := t.sessions[id]
 	if !found {
 		return nil, false, unknownSession(id)
@@ -165,12 +165,12 @@
 }
 
 // RequestFulfilled reports whether a request of the session has received items.
-func (t *Table) Taken(id SessionID, request uint64) bool {
+func (t *Table) RequestFulfilled(id SessionID, request uint64) bool {
 	holder, found := t.sessions[id]
 	return found && holder.fulfilled(request)
 }
 
-func (t *Table) leaseFrom(id SessionID, holder *session, demand Want, jobs []*entry, now instant.Micros) []Leased {
+func (t *Table) leaseFrom(id SessionID, holder *session, demand QueueDemand, jobs []*entry, now instant.Micros) []Leased {
 	var items []Leased
 	for _, job := range jobs {
 		for len(items) < demand.Max {
@@ -229,13 +229,13 @@
 		Part:          source.Ref,
 		Index:         item - source.First,
 
-		GiveUp:           j.spec.GiveUp,
-		OnlyAnswersCount: j.spec.OnlyAnswersCount,
-		Reached:          j.partials[item].End,
-		Partial:          pieces,
-		Takes:            expected,
-		Owner:            j.spec.Owner,
-		At:               now,
+		GiveUpAt:          j.spec.GiveUpAt,
+		CountOnlyAnswered: j.spec.CountOnlyAnswered,
+		PartialEnd:        j.partials[item].End,
+		Partial:           pieces,
+		ExpectedRunTime:   expected,
+		Owner:             j.spec.Owner,
+		LeasedAt:          now,
 	}
 }
 
--- a/internal/job/pages.go
+++ b/internal/job/pages.go
@@ -115,7 +115,7 @@
 func (t *Table) ResultSegmentInUse(segment uint32) bool { return t.resultSegments[segment] > 0 }
 
 // ItemListing is a range of a job's results in item order.
-type Located struct {
+type ItemListing struct {
 	Refs []Ref
 	Next uint32 // item to continue from
 	End  bool   // no more results will follow
@@ -124,17 +124,17 @@
 // ListByItem returns at most limit results of a job in item order, starting at an
 // item. For a running job it stops at the first item without a result, so that
 // Next never skips an item whose result is still to come.
-func (t *Table) Locate(id ID, from uint32, limit int) (Located, error) {
+func (t *Table) ListByItem(id ID, from uint32, limit int) (ItemListing, error) {
 	job, refusal := t.find(id)
 	if refusal != nil {
-		return Located{}, refusal
+		return ItemListing{}, refusal
 	}
-	listing := Located{Next: from}
+	listing := ItemListing{Next: from}
 	reader := pageReader{storage: t.storage, number: -1}
 	for listing.Next < job.items && len(listing.Refs) < limit && job.pages != nil {
 		ref, err := reader.ref(job, listing.Next)
 		if err != nil {
-			return Located{}, err
+			return ItemListing{}, err
 		}
 		if ref == (Ref{}) && !job.state.Ended() {
 			return listing, nil
--- a/internal/job/property_test.go
+++ b/internal/job/property_test.go
@@ -158,10 +158,10 @@
 
 func (m *machine) lease(t *rapid.T) {
 	session := job.SessionID(fmt.Sprint(rapid.IntRange(m.sessions, m.sessions+1).Draw(t, "session")))
-	m.table.OpenSession(session, job.Run{VM: "vm"})
+	m.table.OpenSession(session, job.GateRun{VM: "vm"})
 	m.requests++
 	request := m.requests
-	demands := []job.Want{{Queue: queue, Max: rapid.IntRange(1, 5).Draw(t, "max")}}
+	demands := []job.QueueDemand{{Queue: queue, Max: rapid.IntRange(1, 5).Draw(t, "max")}}
 	items, _, refusal := m.table.Lease(session, request, demands, m.now)
 	if refusal != nil {
 		t.Fatalf("lease: %v", refusal)
@@ -266,7 +266,7 @@
 }
 
 func (m *machine) checkResults(t *rapid.T, id job.ID) {
-	located, err := m.table.Locate(id, 0, job.MaxItems)
+	located, err := m.table.ListByItem(id, 0, job.MaxItems)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -302,9 +302,9 @@
 	for range rounds {
 		m.loseGate(t)
 		session := job.SessionID(fmt.Sprint(m.sessions + 1))
-		m.table.OpenSession(session, job.Run{VM: "vm"})
+		m.table.OpenSession(session, job.GateRun{VM: "vm"})
 		m.requests++
-		items, _, _ := m.table.Lease(session, m.requests+1, []job.Want{{Queue: queue, Max: 100}}, m.now)
+		items, _, _ := m.table.Lease(session, m.requests+1, []job.QueueDemand{{Queue: queue, Max: 100}}, m.now)
 		for _, item := range items {
 			m.report(t, attempt{session: session, leased: item}, job.OutcomeSucceeded)
 		}
--- a/internal/job/ready.go
+++ b/internal/job/ready.go
@@ -69,7 +69,7 @@
 }
 
 // HasWork reports whether Lease would find an item for one of the demands.
-func (t *Table) HasWork(demands []Want) bool {
+func (t *Table) HasWork(demands []QueueDemand) bool {
 	for _, demand := range demands {
 		if tree := t.ready[demand.Queue]; demand.Max > 0 && tree != nil && tree.Len() > 0 {
 			return true
--- a/internal/job/session.go
+++ b/internal/job/session.go
@@ -10,7 +10,7 @@
 // session is the session of a gate that leases items. Its leases share its
 // lifetime, so that the gate renews one session instead of thousands of leases.
 type session struct {
-	run    Run
+	run    GateRun
 	leases map[itemKey]struct{}
 	last   leaseAnswer
 }
@@ -22,7 +22,7 @@
 }
 
 // GateRun identifies one run of a gate's process.
-type Run struct {
+type GateRun struct {
 	VM string `cbor:"1,keyasint"`
 	// Started is the start of the process in Unix milliseconds; 0 means unknown.
 	Started int64 `cbor:"2,keyasint,omitempty"`
@@ -30,12 +30,12 @@
 
 // replaces reports whether r is a later run of the same gate, so that the earlier
 // run must have ended. A VM runs a single gate.
-func (r Run) replaces(earlier Run) bool {
+func (r GateRun) replaces(earlier GateRun) bool {
 	return r.VM != "" && r.VM == earlier.VM && earlier.Started > 0 && r.Started > earlier.Started
 }
 
 // OpenSession registers the session of a gate's run. It is idempotent.
-func (t *Table) OpenSession(id SessionID, by Run) {
+func (t *Table) OpenSession(id SessionID, by GateRun) {
 	if _, found := t.sessions[id]; !found {
 		t.sessions[id] = &session{run: by, leases: make(map[itemKey]struct{})}
 	}
@@ -45,7 +45,7 @@
 // items are leased to a process that no longer exists; until the sessions expire,
 // seconds after a restart, the items would wait while replicas are idle. If the
 // VM's clock was set back, the result is empty and the sessions expire normally.
-func (t *Table) Replaced(by Run) []SessionID {
+func (t *Table) ReplacedSessions(by GateRun) []SessionID {
 	var replaced []SessionID
 	for _, id := range sortedKeys(t.sessions) {
 		if by.replaces(t.sessions[id].run) {
@@ -93,7 +93,7 @@
 
 // FilterEnded returns the jobs among ids that are cancelled, completed or unknown.
 // A gate that runs items of these jobs stops them.
-func (t *Table) EndedAmong(ids []ID) []ID {
+func (t *Table) FilterEnded(ids []ID) []ID {
 	var ended []ID
 	for _, id := range ids {
 		if _, running := t.jobs[id]; !running {
--- a/internal/job/snapshot.go
+++ b/internal/job/snapshot.go
@@ -112,7 +112,7 @@
 		t.meanDuration[stored.Queue] = stored.Mean
 	}
 	for _, stored := range s.Sessions {
-		t.OpenSession(stored.ID, Run{VM: stored.VM, Started: stored.Started})
+		t.OpenSession(stored.ID, GateRun{VM: stored.VM, Started: stored.Started})
 		t.sessions[stored.ID].last = stored.Last
 	}
 	for i := range s.Jobs {
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -35,7 +35,7 @@
 	}
 	spec := s.Spec
 	if s.GiveUpAfter > 0 {
-		spec.GiveUp = now.Add(s.GiveUpAfter)
+		spec.GiveUpAt = now.Add(s.GiveUpAfter)
 	}
 	status, refusal := t.Create(spec, now)
 	if refusal != nil {
@@ -79,7 +79,7 @@
 // trackRunning counts the tokens of a job that starts to run against its owner's
 // quota and schedules the give-up time of its items.
 func (t *Table) trackRunning(job *entry) {
-	if job.spec.GiveUp != 0 {
+	if job.spec.GiveUpAt != 0 {
 		t.giveUps.ReplaceOrInsert(job.giveUpKey())
 	}
 	for item, count := range job.tokens {
@@ -117,11 +117,11 @@
 
 func (j *entry) giveUpKey() expiryKey {
 	key, _ := j.id.key()
-	return expiryKey{at: j.spec.GiveUp, key: key}
+	return expiryKey{at: j.spec.GiveUpAt, key: key}
 }
 
 func (j *entry) pastGiveUp(now instant.Micros) bool {
-	return j.spec.GiveUp != 0 && now >= j.spec.GiveUp
+	return j.spec.GiveUpAt != 0 && now >= j.spec.GiveUpAt
 }
 
 // giveUpDueJobs ends the waiting items of the jobs whose give-up time has passed.
@@ -153,7 +153,7 @@
 }
 
 // CompletionListing is a range of a job's results in the order of completion.
-type Listing struct {
+type CompletionListing struct {
 	Items uint32 // total number of items of the job
 	Refs  []Ref
 	Next  uint32 // position to continue from
@@ -162,17 +162,17 @@
 
 // ListByCompletion returns at most limit results, starting at a position in the
 // order of completion. A result keeps its position until the job is deleted.
-func (t *Table) ListFrom(id ID, position uint32, limit int) (Listing, error) {
+func (t *Table) ListByCompletion(id ID, position uint32, limit int) (CompletionListing, error) {
 	job, refusal := t.find(id)
 	if refusal != nil {
-		return Listing{}, refusal
+		return CompletionListing{}, refusal
 	}
-	listing := Listing{Items: job.items, Next: position, Ended: job.state.Ended()}
+	listing := CompletionListing{Items: job.items, Next: position, Ended: job.state.Ended()}
 	reader := pageReader{storage: t.storage, number: -1}
 	for int(listing.Next) < len(job.order) && len(listing.Refs) < limit {
 		ref, err := reader.ref(job, job.order[listing.Next])
 		if err != nil {
-			return Listing{}, err
+			return CompletionListing{}, err
 		}
 		listing.Refs = append(listing.Refs, ref)
 		listing.Next++
@@ -181,7 +181,7 @@
 }
 
 // PartRefs returns the references of the parts of a job that has not ended.
-func (t *Table) Bodies(id ID) ([]Ref, *apierr.Error) {
+func (t *Table) PartRefs(id ID) ([]Ref, *apierr.Error) {
 	job, refusal := t.find(id)
 	if refusal != nil {
 		return nil, refusal
--- a/internal/job/submit_test.go
+++ b/internal/job/submit_test.go
@@ -15,7 +15,7 @@
 	status, refusal := table.Submit(&job.Submission{
 		Spec: job.Spec{
 			Team: "council.example", Key: key, Queue: queue, Within: time.Hour, MaxAttempts: 2,
-			Retention: time.Hour, GiveUp: giveUp, OnlyAnswersCount: true,
+			Retention: time.Hour, GiveUpAt: giveUp, CountOnlyAnswered: true,
 		},
 		Tokens: []uint32{10, 10, 10}, Items: encodedPart(0), Quota: quota,
 	}, 1)
@@ -30,14 +30,14 @@
 }
 
 func leaseAll(table *job.Table, request uint64) []job.Leased {
-	items, _, _ := table.Lease("s", request, []job.Want{{Queue: queue, Max: partItems}}, 2)
+	items, _, _ := table.Lease("s", request, []job.QueueDemand{{Queue: queue, Max: partItems}}, 2)
 	return items
 }
 
 // listed returns the items of a job in the order of completion.
 func listed(t *testing.T, table *job.Table, storage *memoryStorage, id job.ID) []uint32 {
 	t.Helper()
-	listing, err := table.ListFrom(id, 0, 100)
+	listing, err := table.ListByCompletion(id, 0, 100)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 	if again, err := submitted(table, "a", 30, 0); err != nil || again.ID != first.ID {
 		t.Fatalf("resent while it runs: %+v, %v", again, err)
 	}
-	table.OpenSession("s", job.Run{VM: "vm"})
+	table.OpenSession("s", job.GateRun{VM: "vm"})
 	for _, item := range leaseAll(table, 1) {
 		complete(table, first.ID, item, job.OutcomeSucceeded, 2)
 	}
@@ -83,7 +83,7 @@
 	if _, err := submitted(table, "b", 50, 0); err == nil {
 		t.Fatal("60 tokens accepted under a quota of 50")
 	}
-	table.OpenSession("s", job.Run{VM: "vm"})
+	table.OpenSession("s", job.GateRun{VM: "vm"})
 	items := leaseAll(table, 1)
 	complete(table, first.ID, items[0], job.OutcomeSucceeded, 2)
 	if _, err := submitted(table, "b", 50, 0); err != nil {
@@ -103,7 +103,7 @@
 }
 
 // Waiting items of one owner must not use up the quota of the others.
-func TestEachOwnerHasAQuotaOfItsOwn(t *testing.T) {
+func TestQuotaIsPerOwner(t *testing.T) {
 	table := job.NewTable(&memoryStorage{})
 	submit := func(owner, key string) *apierr.Error {
 		_, refusal := table.Submit(&job.Submission{
@@ -145,7 +145,7 @@
 	storage := &memoryStorage{}
 	table := job.NewTable(storage)
 	status, _ := submitted(table, "a", 0, 0)
-	table.OpenSession("s", job.Run{VM: "vm"})
+	table.OpenSession("s", job.GateRun{VM: "vm"})
 	items := leaseAll(table, 1)
 	complete(table, status.ID, items[2], job.OutcomeSucceeded, 2)
 	complete(table, status.ID, items[0], job.OutcomeFailed, 3)
@@ -166,13 +166,13 @@
 	const giveUp = instant.Micros(1000)
 	status, _ := submitted(table, "a", 0, giveUp)
 	for round := range 5 {
-		table.OpenSession("s", job.Run{VM: "vm"})
+		table.OpenSession("s", job.GateRun{VM: "vm"})
 		if items := leaseAll(table, uint64(round+1)); len(items) != partItems {
 			t.Fatalf("round %d: leased %d items", round, len(items))
 		}
 		table.EndSession("s", 2)
 	}
-	table.OpenSession("s", job.Run{VM: "vm"})
+	table.OpenSession("s", job.GateRun{VM: "vm"})
 	running := leaseAll(table, 1)[:1]
 	for _, item := range leaseAll(table, 2) {
 		complete(table, status.ID, item, job.OutcomeReturned, 3)
@@ -197,17 +197,17 @@
 func reportPart(table *job.Table, session job.SessionID, item job.Leased, outcome job.Outcome, start, end int, text string) {
 	table.Complete(session, []job.Result{{
 		Job: item.Job, Item: item.Item, Attempt: item.Attempt, Outcome: outcome,
-		Partial: []byte(text), From: start, Reached: end,
+		Partial: []byte(text), PartialFrom: start, PartialEnd: end,
 	}}, 2)
 }
 
 // A gate that stops returns its items with their partial answers. The next gate
 // must resume there; otherwise each restart of a gate would lose work.
-func TestReturnedItemGoesOnWhereItWas(t *testing.T) {
+func TestReturnedItemResumesFromPartialAnswer(t *testing.T) {
 	storage := &memoryStorage{}
 	table := job.NewTable(storage)
 	submitted(table, "a", 0, 0)
-	table.OpenSession("s", job.Run{VM: "vm"})
+	table.OpenSession("s", job.GateRun{VM: "vm"})
 	item := leaseAll(table, 1)[0]
 	returnItem := func(item job.Leased, end int, text string) {
 		reportPart(table, "s", item, job.OutcomeReturned, 0, end, text)
@@ -222,11 +222,11 @@
 	}
 	again := leaseAll(table, 2)[0]
 	text, err := storage.ReadResult(again.Partial[0])
-	if err != nil || again.Item != item.Item || again.Reached != 7 || string(text) != "seven events" {
+	if err != nil || again.Item != item.Item || again.PartialEnd != 7 || string(text) != "seven events" {
 		t.Fatalf("leased %+v, %q, %v", again, text, err)
 	}
 	returnItem(again, 3, "three") // a shorter partial answer must not replace a longer one
-	if third := leaseAll(table, 3)[0]; third.Reached != 7 {
+	if third := leaseAll(table, 3)[0]; third.PartialEnd != 7 {
 		t.Fatalf("leased %+v", third)
 	}
 }
@@ -234,14 +234,14 @@
 // A gate is killed while it runs an item, so that only the pieces of the answer
 // that it has already reported survive. The next gate must resume after the last
 // of them. A piece whose predecessor is missing must not be appended.
-func TestItemOfAKilledGateGoesOnAfterItsLastPiece(t *testing.T) {
+func TestItemOfKilledGateResumesAfterItsLastPiece(t *testing.T) {
 	storage := &memoryStorage{}
 	table := job.NewTable(storage)
 	submitted(table, "a", 0, 0)
-	table.OpenSession("s", job.Run{VM: "vm"})
+	table.OpenSession("s", job.GateRun{VM: "vm"})
 	item := leaseAll(table, 1)[0]
 	report := func(session job.SessionID, start, end int, text string) {
-		reportPart(table, session, item, job.OutcomeReached, start, end, text)
+		reportPart(table, session, item, job.OutcomeProgress, start, end, text)
 	}
 	report("s", 0, 3, "one two three")
 	report("s", 3, 5, " four five")
@@ -259,8 +259,8 @@
 		t.Fatal(err)
 	}
 	table.EndSession("s", 3)
-	table.OpenSession("next", job.Run{VM: "vm"})
-	items, _, _ := table.Lease("next", 1, []job.Want{{Queue: queue, Max: 100}}, 4)
+	table.OpenSession("next", job.GateRun{VM: "vm"})
+	items, _, _ := table.Lease("next", 1, []job.QueueDemand{{Queue: queue, Max: 100}}, 4)
 	for _, again := range items {
 		if again.Item != item.Item {
 			continue
@@ -273,8 +273,8 @@
 			}
 			text += string(read)
 		}
-		if again.Reached != 5 || text != "one two three four five" {
-			t.Errorf("the partial answer ends at %d and is %q", again.Reached, text)
+		if again.PartialEnd != 5 || text != "one two three four five" {
+			t.Errorf("the partial answer ends at %d and is %q", again.PartialEnd, text)
 		}
 		return
 	}
@@ -286,7 +286,7 @@
 func TestFailureAnswersCount(t *testing.T) {
 	table := job.NewTable(&memoryStorage{})
 	status, _ := submitted(table, "a", 0, 0)
-	table.OpenSession("s", job.Run{VM: "vm"})
+	table.OpenSession("s", job.GateRun{VM: "vm"})
 	for request := uint64(1); request <= 2; request++ {
 		for _, item := range leaseAll(table, request) {
 			complete(table, status.ID, item, job.OutcomeRetry, 2)
@@ -299,32 +299,32 @@
 
 // The clock of the gate that accepts a job, or of the gate that runs its items, is
 // an hour off. Items must still be given up at the right time.
-func TestWhenItemsAreGivenUpDoesNotDependOnTheClocksOfGates(t *testing.T) {
+func TestGiveUpTimeDoesNotDependOnGateClocks(t *testing.T) {
 	const accepted, giveUpAfter = instant.Micros(50_000_000), 20 * time.Second
 	table := job.NewTable(&memoryStorage{})
 	status, refusal := table.Submit(&job.Submission{
 		Spec: job.Spec{
-			Team: "news.example", Key: "a", Queue: queue, Within: 9 * time.Second, MaxAttempts: 1, OnlyAnswersCount: true,
+			Team: "news.example", Key: "a", Queue: queue, Within: 9 * time.Second, MaxAttempts: 1, CountOnlyAnswered: true,
 		},
 		Tokens: []uint32{30}, Items: codec.MustMarshal([]job.Item{{CustomID: "i"}}), GiveUpAfter: giveUpAfter,
 	}, accepted)
 	if refusal != nil {
 		t.Fatal(refusal)
 	}
-	if want := accepted.Add(giveUpAfter); status.Spec.GiveUp != want {
-		t.Fatalf("given up at %d, accepted at %d", status.Spec.GiveUp, accepted)
+	if want := accepted.Add(giveUpAfter); status.Spec.GiveUpAt != want {
+		t.Fatalf("given up at %d, accepted at %d", status.Spec.GiveUpAt, accepted)
 	}
-	table.OpenSession("s", job.Run{VM: "vm"})
+	table.OpenSession("s", job.GateRun{VM: "vm"})
 	leasedAt := accepted.Add(5 * time.Second)
-	items, _, refusal := table.Lease("s", 1, []job.Want{{Queue: queue, Max: 1}}, leasedAt)
+	items, _, refusal := table.Lease("s", 1, []job.QueueDemand{{Queue: queue, Max: 1}}, leasedAt)
 	if refusal != nil || len(items) != 1 {
 		t.Fatalf("%v, %v", items, refusal)
 	}
 	gateTime := leasedAt.Time().Add(time.Hour)
-	if left := items[0].ByClock(items[0].GiveUp, gateTime).Sub(gateTime); left != 15*time.Second {
+	if left := items[0].LocalTime(items[0].GiveUpAt, gateTime).Sub(gateTime); left != 15*time.Second {
 		t.Errorf("given up in %s at a gate whose clock is an hour ahead", left)
 	}
-	if left := items[0].ByClock(items[0].Deadline, gateTime).Sub(gateTime); left != 4*time.Second {
+	if left := items[0].LocalTime(items[0].Deadline, gateTime).Sub(gateTime); left != 4*time.Second {
 		t.Errorf("due in %s at a gate whose clock is an hour ahead", left)
 	}
 }
--- a/internal/job/table_test.go
+++ b/internal/job/table_test.go
@@ -14,7 +14,7 @@
 // One item of a job crashes each gate that runs it. The job must still end: the
 // item fails with a reason after its last attempt, and the other items are not
 // delayed.
-func TestItemThatLosesEachGate(t *testing.T) {
+func TestItemThatCrashesEachGateFails(t *testing.T) {
 	storage := &memoryStorage{}
 	table := job.NewTable(storage)
 	status, _ := table.Create(job.Spec{Team: "t", Key: "k", Queue: queue, Within: time.Hour, MaxAttempts: 2, Retention: time.Hour}, 1)
@@ -23,8 +23,8 @@
 	lostGates := 0
 	for request := uint64(1); ; request++ {
 		session := job.SessionID(fmt.Sprint("s", lostGates))
-		table.OpenSession(session, job.Run{VM: "vm"})
-		items, _, _ := table.Lease(session, request, []job.Want{{Queue: queue, Max: 1}}, 2)
+		table.OpenSession(session, job.GateRun{VM: "vm"})
+		items, _, _ := table.Lease(session, request, []job.QueueDemand{{Queue: queue, Max: 1}}, 2)
 		if len(items) == 0 {
 			break
 		}
@@ -39,7 +39,7 @@
 	if lostGates != 2 || status.State != job.StateCompleted || status.Failed != 1 || status.Succeeded != 2 {
 		t.Fatalf("lost %d gates, status %+v", lostGates, status)
 	}
-	located, _ := table.Locate(status.ID, 0, 1)
+	located, _ := table.ListByItem(status.ID, 0, 1)
 	var first job.StoredResult
 	if err := codec.Unmarshal(storage.results[located.Refs[0].Offset], &first); err != nil {
 		t.Fatal(err)
@@ -52,20 +52,20 @@
 // All processes of a site are restarted. Without replacement of the sessions,
 // batch work stands still for three more seconds while replicas are idle: the
 // items stay leased to the earlier gate processes until their sessions expire.
-func TestARestartedGateEndsTheSessionsOfItsEarlierRuns(t *testing.T) {
+func TestRestartedGateReplacesItsEarlierSessions(t *testing.T) {
 	table := job.NewTable(&memoryStorage{})
-	earlier := job.Run{VM: "gate-a", Started: 1_000}
+	earlier := job.GateRun{VM: "gate-a", Started: 1_000}
 	table.OpenSession("earlier", earlier)
-	table.OpenSession("other", job.Run{VM: "gate-b", Started: 900})
-	table.OpenSession("unknown", job.Run{VM: "gate-a"})
+	table.OpenSession("other", job.GateRun{VM: "gate-b", Started: 900})
+	table.OpenSession("unknown", job.GateRun{VM: "gate-a"})
 
-	if replaced := table.Replaced(job.Run{VM: "gate-a", Started: 2_000}); !slices.Equal(replaced, []job.SessionID{"earlier"}) {
+	if replaced := table.ReplacedSessions(job.GateRun{VM: "gate-a", Started: 2_000}); !slices.Equal(replaced, []job.SessionID{"earlier"}) {
 		t.Errorf("a later run replaces %v", replaced)
 	}
 	// A second session of the same run, a delayed call of an earlier run or a
 	// clock that was set back replace nothing.
-	for _, run := range []job.Run{earlier, {VM: "gate-a", Started: 500}, {VM: "gate-a"}, {VM: "gate-c", Started: 5_000}} {
-		if replaced := table.Replaced(run); len(replaced) > 0 {
+	for _, run := range []job.GateRun{earlier, {VM: "gate-a", Started: 500}, {VM: "gate-a"}, {VM: "gate-c", Started: 5_000}} {
+		if replaced := table.ReplacedSessions(run); len(replaced) > 0 {
 			t.Errorf("%+v replaces %v", run, replaced)
 		}
 	}
@@ -78,7 +78,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if replaced := restored.Replaced(job.Run{VM: "gate-a", Started: 2_000}); !slices.Equal(replaced, []job.SessionID{"earlier"}) {
+	if replaced := restored.ReplacedSessions(job.GateRun{VM: "gate-a", Started: 2_000}); !slices.Equal(replaced, []job.SessionID{"earlier"}) {
 		t.Errorf("after a restart of the keeper a later run replaces %v", replaced)
 	}
 }
@@ -86,7 +86,7 @@
 // More work is waiting than can be done in time. Ordered by deadline alone, gates
 // would lease the job that is due next although its items cannot be done by then,
 // and the job after it would miss its deadline too.
-func TestItemsThatCannotBeInTimeAreLeasedLast(t *testing.T) {
+func TestOverdueItemsAreLeasedLast(t *testing.T) {
 	table := job.NewTable(&memoryStorage{})
 	now := instant.Micros(1)
 	submit := func(key string, within time.Duration) job.ID {
@@ -95,11 +95,11 @@
 		table.Seal(status.ID, 1, now)
 		return status.ID
 	}
-	table.OpenSession("s", job.Run{VM: "vm"})
+	table.OpenSession("s", job.GateRun{VM: "vm"})
 	request := uint64(0)
 	lease := func(count int) []job.Leased {
 		request++
-		items, _, _ := table.Lease("s", request, []job.Want{{Queue: queue, Max: count}}, now)
+		items, _, _ := table.Lease("s", request, []job.QueueDemand{{Queue: queue, Max: count}}, now)
 		return items
 	}
 	submit("before", time.Minute)
@@ -119,8 +119,8 @@
 		t.Fatal(err)
 	}
 	first := lease(1)[0]
-	if first.Job != inTime || first.Takes != 5*time.Second {
-		t.Errorf("an overdue item was leased before one that can be in time; expected run time %s", first.Takes)
+	if first.Job != inTime || first.ExpectedRunTime != 5*time.Second {
+		t.Errorf("an overdue item was leased before one that can be in time; expected run time %s", first.ExpectedRunTime)
 	}
 	for _, item := range lease(partItems) {
 		if item.Job == overdue {
@@ -158,7 +158,7 @@
 
 // New jobs keep arriving while one job is overdue. Always served last, it would
 // never end; always served first, it would delay the others past their deadlines.
-func TestLateJobIsServedLastButServed(t *testing.T) {
+func TestOverdueJobIsNotStarved(t *testing.T) {
 	table := job.NewTable(&memoryStorage{})
 	add := func(key string, within time.Duration) job.ID {
 		status, _ := table.Create(job.Spec{Team: "t", Key: key, Queue: queue, Within: within, MaxAttempts: 1, Retention: time.Hour}, 1)
@@ -169,10 +169,10 @@
 		return status.ID
 	}
 	overdue, second, first := add("late", 0), add("second", 2*time.Hour), add("first", time.Hour)
-	table.OpenSession("s", job.Run{VM: "vm"})
+	table.OpenSession("s", job.GateRun{VM: "vm"})
 	var order []job.ID
 	for request := uint64(1); request <= 17; request++ {
-		items, _, _ := table.Lease("s", request, []job.Want{{Queue: queue, Max: 1}}, 2)
+		items, _, _ := table.Lease("s", request, []job.QueueDemand{{Queue: queue, Max: 1}}, 2)
 		order = append(order, items[0].Job)
 	}
 	if order[0] != first || order[6] != first || order[7] != overdue || order[15] != overdue || order[16] != first {
--- a/internal/job/types.go
+++ b/internal/job/types.go
@@ -76,10 +76,10 @@
 
 	// GiveUpAt is the time at which items without a result end as failed; zero
 	// means never.
-	GiveUp instant.Micros `cbor:"10,keyasint,omitempty"`
+	GiveUpAt instant.Micros `cbor:"10,keyasint,omitempty"`
 	// CountOnlyAnswered makes an attempt count only if an upstream answered that
 	// it failed. The loss of a gate or connection is no evidence about the item.
-	OnlyAnswersCount bool `cbor:"11,keyasint,omitempty"`
+	CountOnlyAnswered bool `cbor:"11,keyasint,omitempty"`
 	// Owner is the customer whose quota the job's tokens count against; jobs
 	// without an owner share one quota.
 	Owner string `cbor:"12,keyasint,omitempty"`
@@ -147,7 +147,7 @@
 	OutcomeReturned Outcome = "returned"
 	// OutcomeProgress is an intermediate report: the attempt continues, and Partial
 	// holds the answer so far or the next piece of it.
-	OutcomeReached Outcome = "reached"
+	OutcomeProgress Outcome = "reached"
 )
 
 // Result is a gate's report on an attempt at an item.
@@ -163,9 +163,9 @@
 	Message  string        `cbor:"9,keyasint,omitempty"`
 	// Partial is the part of the answer after event or token PartialFrom, up to
 	// and including PartialEnd. The next attempt continues after PartialEnd.
-	Partial []byte `cbor:"10,keyasint,omitempty"`
-	Reached int    `cbor:"11,keyasint,omitempty"`
-	From    int    `cbor:"12,keyasint,omitempty"`
+	Partial     []byte `cbor:"10,keyasint,omitempty"`
+	PartialEnd  int    `cbor:"11,keyasint,omitempty"`
+	PartialFrom int    `cbor:"12,keyasint,omitempty"`
 }
 
 // Ref locates a record in a Storage. The zero Ref means no record.
--- a/internal/keeper/configmachine.go
+++ b/internal/keeper/configmachine.go
@@ -95,7 +95,7 @@
 // setMatcher indexes a copy of the routes in force, since readers keep it over
 // the next change. The mutex is held.
 func (m *ConfigMachine) setMatcher() {
-	held := *m.routes.Held()
+	held := *m.routes.Current()
 	m.matcher = routes.NewMatcher(&held)
 }
 
@@ -222,5 +222,5 @@
 func (m *ConfigMachine) fullCopy() team.Update {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return m.registry.Full()
+	return m.registry.FullUpdate()
 }
--- a/internal/keeper/keeperapi/api.go
+++ b/internal/keeper/keeperapi/api.go
@@ -291,7 +291,7 @@
 // AwaitWorkRequest waits until one of the wants could get an item in a group.
 type AwaitWorkRequest struct {
 	Group uint32
-	Wants []job.Want
+	Wants []job.QueueDemand
 	Wait  time.Duration
 	// Session is who asks; empty: nobody whose lease is expected.
 	Session job.SessionID
@@ -305,10 +305,10 @@
 // LeaseRequest asks for items of one group to run. A resend carries the same
 // Request.
 type LeaseRequest struct {
-	Group   uint32        `cbor:"1,keyasint"`
-	Session job.SessionID `cbor:"2,keyasint"`
-	Request uint64        `cbor:"3,keyasint"` // from 1, the next one after an answer that took it
-	Wants   []job.Want    `cbor:"4,keyasint"`
+	Group   uint32            `cbor:"1,keyasint"`
+	Session job.SessionID     `cbor:"2,keyasint"`
+	Request uint64            `cbor:"3,keyasint"` // from 1, the next one after an answer that took it
+	Wants   []job.QueueDemand `cbor:"4,keyasint"`
 }
 
 // LeaseResponse gives items to run; none if there are none to run.
--- a/internal/keeper/keeperclient/lease.go
+++ b/internal/keeper/keeperclient/lease.go
@@ -12,7 +12,7 @@
 
 // Lease gets items to run, up to the wanted counts. It waits up to wait for
 // the first ones; without any it returns none.
-func (s *Session) Lease(ctx context.Context, wants []job.Want, wait time.Duration) ([]keeperapi.LeasedItem, error) {
+func (s *Session) Lease(ctx context.Context, wants []job.QueueDemand, wait time.Duration) ([]keeperapi.LeasedItem, error) {
 	groups, err := s.client.Groups(ctx)
 	if err != nil {
 		return nil, err
@@ -28,8 +28,8 @@
 }
 
 // sweep asks the groups one after the other until the wants are met.
-func (s *Session) sweep(ctx context.Context, groups uint32, wants []job.Want) ([]keeperapi.LeasedItem, error) {
-	left := append([]job.Want(nil), wants...)
+func (s *Session) sweep(ctx context.Context, groups uint32, wants []job.QueueDemand) ([]keeperapi.LeasedItem, error) {
+	left := append([]job.QueueDemand(nil), wants...)
 	var items []keeperapi.LeasedItem
 	start := s.rotate()
 	for i := range groups - 1 {
@@ -57,8 +57,8 @@
 }
 
 // subtract gives what is still wanted beside the found items.
-func subtract(wants []job.Want, found []keeperapi.LeasedItem) []job.Want {
-	var left []job.Want
+func subtract(wants []job.QueueDemand, found []keeperapi.LeasedItem) []job.QueueDemand {
+	var left []job.QueueDemand
 	for _, want := range wants {
 		for _, item := range found {
 			if item.Lease.Queue == want.Queue {
@@ -72,7 +72,7 @@
 	return left
 }
 
-func (s *Session) leaseFrom(ctx context.Context, group uint32, wants []job.Want) ([]keeperapi.LeasedItem, error) {
+func (s *Session) leaseFrom(ctx context.Context, group uint32, wants []job.QueueDemand) ([]keeperapi.LeasedItem, error) {
 	in := s.group(group)
 	in.lease.Lock()
 	defer in.lease.Unlock()
@@ -110,7 +110,7 @@
 }
 
 // await waits until some group has an item.
-func (s *Session) await(ctx context.Context, groups uint32, wants []job.Want, wait time.Duration) bool {
+func (s *Session) await(ctx context.Context, groups uint32, wants []job.QueueDemand, wait time.Duration) bool {
 	// The keepers end the wait by themselves. Cut short here at the same moment,
 	// each wait would cost its connection and count as an unknown outcome.
 	ctx, cancel := context.WithTimeout(ctx, wait+attemptTimeout)
--- a/internal/keeper/keeperclient/session.go
+++ b/internal/keeper/keeperclient/session.go
@@ -21,7 +21,7 @@
 // renewed by Heartbeat. It is safe for concurrent use.
 type Session struct {
 	client *Client
-	by     job.Run
+	by     job.GateRun
 	id     string
 
 	mu     sync.Mutex
@@ -41,7 +41,7 @@
 
 // NewSession makes the session of one run of a gate. It ends those of earlier
 // runs on the same VM.
-func (c *Client) NewSession(by job.Run) *Session {
+func (c *Client) NewSession(by job.GateRun) *Session {
 	return &Session{client: c, by: by, id: by.VM + "/" + uuid.NewString(), groups: make(map[uint32]*groupSession)}
 }
 
--- a/internal/keeper/offers.go
+++ b/internal/keeper/offers.go
@@ -29,7 +29,7 @@
 type offers struct {
 	mu      sync.Mutex
 	open    map[offerKey]offer
-	waiting map[offerKey][]job.Want
+	waiting map[offerKey][]job.QueueDemand
 }
 
 type offerKey struct {
@@ -39,19 +39,19 @@
 
 type offer struct {
 	until time.Time
-	items []job.Want // promised, by queue
+	items []job.QueueDemand // promised, by queue
 }
 
 // readyItems counts the items of a queue that can be leased, up to limit.
 type readyItems func(queue job.Queue, limit int) int
 
 func newOffers() *offers {
-	return &offers{open: make(map[offerKey]offer), waiting: make(map[offerKey][]job.Want)}
+	return &offers{open: make(map[offerKey]offer), waiting: make(map[offerKey][]job.QueueDemand)}
 }
 
 // wait notes that a session waits for items until done is called. One that was told
 // of items and asks again takes its offer back: they are gone, or not to its liking.
-func (o *offers) wait(group uint32, session job.SessionID, wants []job.Want) (done func()) {
+func (o *offers) wait(group uint32, session job.SessionID, wants []job.QueueDemand) (done func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	key := offerKey{group, session}
@@ -66,15 +66,15 @@
 
 // take tells whether there is an item for the waiting session that no other one was
 // told of and no emptier one waits for, and keeps its share for it.
-func (o *offers) take(group uint32, session job.SessionID, wants []job.Want, ready readyItems, now time.Time) bool {
+func (o *offers) take(group uint32, session job.SessionID, wants []job.QueueDemand, ready readyItems, now time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.expire(now)
 	key := offerKey{group, session}
-	var items []job.Want
+	var items []job.QueueDemand
 	for _, want := range wants {
 		if share := o.share(key, want, ready); share > 0 {
-			items = append(items, job.Want{Queue: want.Queue, Max: share})
+			items = append(items, job.QueueDemand{Queue: want.Queue, Max: share})
 		}
 	}
 	if len(items) == 0 {
@@ -87,13 +87,13 @@
 
 // bound limits the wants of a lease request to what the session was offered or,
 // without an offer, to its share of what others were not told of.
-func (o *offers) bound(group uint32, session job.SessionID, wants []job.Want, ready readyItems, now time.Time) []job.Want {
+func (o *offers) bound(group uint32, session job.SessionID, wants []job.QueueDemand, ready readyItems, now time.Time) []job.QueueDemand {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.expire(now)
 	key := offerKey{group, session}
 	offered, hasOffer := o.open[key]
-	bounded := make([]job.Want, 0, len(wants))
+	bounded := make([]job.QueueDemand, 0, len(wants))
 	for _, want := range wants {
 		if hasOffer {
 			want.Max = min(want.Max, promisedOf(offered.items, want.Queue))
@@ -107,7 +107,7 @@
 
 // share gives how many items of the queue the session may have beside those that
 // wait with it.
-func (o *offers) share(key offerKey, want job.Want, ready readyItems) int {
+func (o *offers) share(key offerKey, want job.QueueDemand, ready readyItems) int {
 	promised := o.promised(key.group, want.Queue)
 	others, emptier := o.rivals(key, want)
 	free := ready(want.Queue, promised+want.Max*(others+1)) - promised
@@ -119,7 +119,7 @@
 
 // rivals counts the other sessions that wait for items of the queue, and those of
 // them that are emptier.
-func (o *offers) rivals(key offerKey, want job.Want) (others, emptier int) {
+func (o *offers) rivals(key offerKey, want job.QueueDemand) (others, emptier int) {
 	for other, wants := range o.waiting {
 		if other.group != key.group || other.session == key.session {
 			continue
@@ -139,7 +139,7 @@
 
 // emptierThan orders waiting sessions by the part of their room that is filled;
 // equal ones by their names.
-func emptierThan(a job.Want, sessionA job.SessionID, b job.Want, sessionB job.SessionID) bool {
+func emptierThan(a job.QueueDemand, sessionA job.SessionID, b job.QueueDemand, sessionB job.SessionID) bool {
 	filledA, filledB := a.Held*(b.Held+b.Max), b.Held*(a.Held+a.Max)
 	if filledA != filledB {
 		return filledA < filledB
@@ -147,7 +147,7 @@
 	return sessionA < sessionB
 }
 
-func promisedOf(items []job.Want, queue job.Queue) int {
+func promisedOf(items []job.QueueDemand, queue job.Queue) int {
 	count := 0
 	for _, item := range items {
 		if item.Queue == queue {
--- a/internal/keeper/service_test.go
+++ b/internal/keeper/service_test.go
@@ -105,7 +105,7 @@
 func run(ctx context.Context, session *keeperclient.Session) int {
 	count := 0
 	for {
-		leased, err := session.Lease(ctx, []job.Want{{Queue: queue, Max: 7}}, 0)
+		leased, err := session.Lease(ctx, []job.QueueDemand{{Queue: queue, Max: 7}}, 0)
 		Expect(err).NotTo(HaveOccurred())
 		if len(leased) == 0 {
 			return count
@@ -138,7 +138,7 @@
 	It("run from upload to results that stay readable after a restart", func(ctx context.Context) {
 		b := newBench(0, 0)
 		id := b.submit(ctx, spec("bulletin"), 3)
-		Expect(run(ctx, b.client.NewSession(job.Run{VM: "vm-a"}))).To(Equal(30))
+		Expect(run(ctx, b.client.NewSession(job.GateRun{VM: "vm-a"}))).To(Equal(30))
 		b.restart()
 		status, err := b.client.JobStatus(ctx, id)
 		Expect(err).NotTo(HaveOccurred())
@@ -163,11 +163,11 @@
 	It("leases the items of a lost gate again and takes one result each", func(ctx context.Context) {
 		b := newBench(300*time.Millisecond, 0)
 		id := b.submit(ctx, spec("lost-gate"), 1)
-		lost := b.client.NewSession(job.Run{VM: "vm-lost"})
-		held, err := lost.Lease(ctx, []job.Want{{Queue: queue, Max: 4}}, 0)
+		lost := b.client.NewSession(job.GateRun{VM: "vm-lost"})
+		held, err := lost.Lease(ctx, []job.QueueDemand{{Queue: queue, Max: 4}}, 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(held).To(HaveLen(4))
-		other := b.client.NewSession(job.Run{VM: "vm-other"})
+		other := b.client.NewSession(job.GateRun{VM: "vm-other"})
 		status := func() job.Status {
 			run(ctx, other)
 			status, err := b.client.JobStatus(ctx, id)
@@ -188,12 +188,12 @@
 		const lifetime = time.Minute // far beyond the test's own time
 		b := newBench(lifetime, 0)
 		b.submit(ctx, spec("gate-restarts"), 1)
-		killed := b.client.NewSession(job.Run{VM: "vm-a", Started: 1})
-		held, err := killed.Lease(ctx, []job.Want{{Queue: queue, Max: 100}}, 0)
+		killed := b.client.NewSession(job.GateRun{VM: "vm-a", Started: 1})
+		held, err := killed.Lease(ctx, []job.QueueDemand{{Queue: queue, Max: 100}}, 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(held).To(HaveLen(10))
-		restarted := b.client.NewSession(job.Run{VM: "vm-a", Started: 2})
-		again, err := restarted.Lease(ctx, []job.Want{{Queue: queue, Max: 100}}, 0)
+		restarted := b.client.NewSession(job.GateRun{VM: "vm-a", Started: 2})
+		again, err := restarted.Lease(ctx, []job.QueueDemand{{Queue: queue, Max: 100}}, 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(again).To(HaveLen(10))
 	}, NodeTimeout(20*time.Second))
@@ -203,8 +203,8 @@
 	It("stop when cancelled", func(ctx context.Context) {
 		b := newBench(0, 0)
 		id := b.submit(ctx, spec("cancel"), 1)
-		session := b.client.NewSession(job.Run{VM: "vm-a"})
-		held, err := session.Lease(ctx, []job.Want{{Queue: queue, Max: 4}}, 0)
+		session := b.client.NewSession(job.GateRun{VM: "vm-a"})
+		held, err := session.Lease(ctx, []job.QueueDemand{{Queue: queue, Max: 4}}, 0)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = b.client.CancelJob(ctx, id)
 		Expect(err).NotTo(HaveOccurred())
@@ -223,7 +223,7 @@
 	// lost while it runs it: the second must neither run it nor invent an answer.
 	It("let no second gate run a request whose first gate is lost", func(ctx context.Context) {
 		b := newBench(300*time.Millisecond, 0)
-		first, second := b.client.NewSession(job.Run{VM: "vm-a"}), b.client.NewSession(job.Run{VM: "vm-b"})
+		first, second := b.client.NewSession(job.GateRun{VM: "vm-a"}), b.client.NewSession(job.GateRun{VM: "vm-b"})
 		granted, err := first.Claim(ctx, "registry", "plate-1", 7, "attempt-1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(granted.State).To(Equal(claim.StateGranted))
--- a/internal/route/attempt.go
+++ b/internal/route/attempt.go
@@ -52,7 +52,7 @@
 	} else {
 		r.batch += by
 	}
-	r.loadVersion = s.table.Bump()
+	r.loadVersion = s.table.NextVersion()
 	s.updateKnownPeak(r)
 	s.reportLoad(r)
 }
@@ -178,7 +178,7 @@
 }
 
 func (s *Shard) clearCrashes(req *request) {
-	if s.crashes.Standing(s.now, req.Fingerprint) == upstream.StandingClear {
+	if s.crashes.Status(s.now, req.Fingerprint) == upstream.StatusClear {
 		return
 	}
 	if cleared := s.crashes.Clear(req.Fingerprint); len(cleared) > 0 {
--- a/internal/route/messages.go
+++ b/internal/route/messages.go
@@ -156,12 +156,12 @@
 	// is the number of this gate's load report that it answers, and ReportedOnline that
 	// report's online requests; Acknowledges is 0 if it answers none.
 	OwnerReported struct {
-		Load           upstream.Feeding
+		Load           upstream.OwnerLoad
 		Acknowledges   uint64
 		ReportedOnline int
 	}
 	// CrashesReported carries crash records from other gates.
-	CrashesReported struct{ Crashes []upstream.Strike }
+	CrashesReported struct{ Crashes []upstream.CrashRecord }
 	// Cached carries a cache event of a replica.
 	Cached struct{ Event upstream.CacheEvent }
 	// Probed is the result of a Probe output. Refused means that the VM answered but no
@@ -292,7 +292,7 @@
 	}
 	// ReportCrashes sends these crash records to all gates before the outputs that
 	// follow.
-	ReportCrashes struct{ Crashes []upstream.Strike }
+	ReportCrashes struct{ Crashes []upstream.CrashRecord }
 	// Count increments the counter of the reason.
 	Count struct{ Reason apierr.Reason }
 )
--- a/internal/route/poison.go
+++ b/internal/route/poison.go
@@ -23,10 +23,10 @@
 	if s.config.Disabled.Poison || req.RetryUntilAnswered {
 		return nil
 	}
-	switch s.crashes.Standing(s.now, req.Fingerprint) {
-	case upstream.StandingCondemned:
+	switch s.crashes.Status(s.now, req.Fingerprint) {
+	case upstream.StatusRefused:
 		return s.poisonError(req)
-	case upstream.StandingSuspect:
+	case upstream.StatusSuspect:
 		return s.checkHolder(req)
 	default:
 		return nil
@@ -34,7 +34,7 @@
 }
 
 func (s *Shard) poisonError(req *request) *apierr.Error {
-	crashed := s.crashes.Struck(s.now, req.Fingerprint)
+	crashed := s.crashes.CrashedReplicas(s.now, req.Fingerprint)
 	return apierr.New(apierr.Refused, ReasonPoison,
 		"change the request: sending it again does not help",
 		"replicas died while they ran this request: %s", fmt.Sprint(crashed)).WithRan(req.ran())
@@ -45,7 +45,7 @@
 		return nil
 	}
 	able := func(gate string) bool { return s.isLiveGate(gate) && s.mayStartAt(gate, req) }
-	holder := s.crashes.Holder(s.now, req.Fingerprint, able)
+	holder := s.crashes.RetryGate(s.now, req.Fingerprint, able)
 	if holder == "" {
 		gates := slices.DeleteFunc(slices.Clone(s.gates), func(g Gate) bool { return !able(g.ID) })
 		holder = bestGate(gates, "", fmt.Sprint(uint64(req.Fingerprint)))
@@ -90,7 +90,7 @@
 	if s.runningCopies(req.Fingerprint) > 0 || s.now.Before(s.crashBackoffUntil(req)) {
 		return false
 	}
-	for _, id := range s.crashes.Struck(s.now, req.Fingerprint) {
+	for _, id := range s.crashes.CrashedReplicas(s.now, req.Fingerprint) {
 		req.avoidReplica(id)
 	}
 	return true
@@ -106,7 +106,7 @@
 // crashBackoffUntil returns when a suspect request that is retried until answered may
 // run again. It may be the cause of the crashes, and each attempt may cost a replica.
 func (s *Shard) crashBackoffUntil(req *request) time.Time {
-	deaths, last := s.crashes.Deaths(s.now, req.Fingerprint)
+	deaths, last := s.crashes.CrashCount(s.now, req.Fingerprint)
 	if !req.RetryUntilAnswered || deaths == 0 {
 		return time.Time{}
 	}
@@ -118,7 +118,7 @@
 }
 
 func (s *Shard) isSuspect(req *request) bool {
-	return !s.config.Disabled.Poison && s.crashes.Standing(s.now, req.Fingerprint) != upstream.StandingClear
+	return !s.config.Disabled.Poison && s.crashes.Status(s.now, req.Fingerprint) != upstream.StatusClear
 }
 
 // hasTrial reports whether another suspect request is on trial on the replica.
@@ -158,9 +158,9 @@
 		req.replicaDied = true
 		prints = append(prints, req.Fingerprint)
 	}
-	var added []upstream.Strike
+	var added []upstream.CrashRecord
 	for _, print := range prints {
-		crash := upstream.Strike{
+		crash := upstream.CrashRecord{
 			Fingerprint: print,
 			Replica:     r.entry.Replica,
 			Incarnation: r.incarnation,
@@ -178,7 +178,7 @@
 }
 
 func (in CrashesReported) apply(s *Shard) {
-	var added []upstream.Strike
+	var added []upstream.CrashRecord
 	for _, crash := range in.Crashes {
 		if s.crashes.Add(crash) {
 			added = append(added, crash)
@@ -190,15 +190,15 @@
 
 // applyCrashes applies new crash records to the current requests: condemned requests
 // are refused, and of a suspect request only the oldest attempt continues.
-func (s *Shard) applyCrashes(added []upstream.Strike) {
+func (s *Shard) applyCrashes(added []upstream.CrashRecord) {
 	if s.config.Disabled.Poison {
 		return
 	}
 	for _, crash := range added {
-		switch s.crashes.Standing(s.now, crash.Fingerprint) {
-		case upstream.StandingCondemned:
+		switch s.crashes.Status(s.now, crash.Fingerprint) {
+		case upstream.StatusRefused:
 			s.refuseAll(crash.Fingerprint)
-		case upstream.StandingSuspect:
+		case upstream.StatusSuspect:
 			s.keepOldest(crash.Fingerprint, crash.Replica)
 		}
 	}
--- a/internal/route/rebalance_test.go
+++ b/internal/route/rebalance_test.go
@@ -15,7 +15,7 @@
 // waitingItem sets up a gate with one waiting batch item and with all its own replicas
 // full of online work. Every replica of the other gate has the given load. It advances
 // past the time after which the item may be returned.
-func waitingItem(t *testing.T, load upstream.Feeding, retryUntilAnswered bool) *rig {
+func waitingItem(t *testing.T, load upstream.OwnerLoad, retryUntilAnswered bool) *rig {
 	const replicas = 6 // of two slots
 	r := newRig(t, route.Config{HedgeMin: -1, ProbeAfter: time.Hour}, replicas)
 	r.step(route.GatesChanged{Gates: []route.Gate{{ID: "gate-1", Place: "glas-a"}, {ID: "gate-2", Place: "glas-a"}}})
@@ -61,7 +61,7 @@
 // Guards against items that wait for seconds at a gate whose slots online work has
 // taken, and miss their targets, while the replicas of another gate are idle.
 func TestAnItemDoesNotWaitWhileOtherGatesHaveSlots(t *testing.T) {
-	r := waitingItem(t, upstream.Feeding{Online: 0, Batch: 0}, true)
+	r := waitingItem(t, upstream.OwnerLoad{Online: 0, Batch: 0}, true)
 	refusal := r.refused["item"]
 	if refusal == nil || refusal.Reason != route.ReasonFreeElsewhere || refusal.Ran != apierr.RanNo {
 		t.Errorf("the item was not returned as expected: %v", refusal)
@@ -69,10 +69,10 @@
 }
 
 func TestAnItemWaitsWhereNobodyHasSlots(t *testing.T) {
-	if refusal := waitingItem(t, upstream.Feeding{Online: 1, Batch: 1}, true).refused["item"]; refusal != nil {
+	if refusal := waitingItem(t, upstream.OwnerLoad{Online: 1, Batch: 1}, true).refused["item"]; refusal != nil {
 		t.Errorf("returned although all replicas are full: %v", refusal)
 	}
-	if refusal := waitingItem(t, upstream.Feeding{}, false).refused["item"]; refusal != nil {
+	if refusal := waitingItem(t, upstream.OwnerLoad{}, false).refused["item"]; refusal != nil {
 		t.Errorf("returned although a return counts as an attempt: %v", refusal)
 	}
 }
--- a/internal/route/replica.go
+++ b/internal/route/replica.go
@@ -173,7 +173,7 @@
 }
 
 func (in Reported) apply(s *Shard) {
-	change, err := s.table.Report(s.now, in.Digest)
+	change, err := s.table.ApplyLoad(s.now, in.Digest)
 	if err != nil {
 		s.count(upstream.ReasonBadAnnouncement)
 		return
--- a/internal/route/shard.go
+++ b/internal/route/shard.go
@@ -17,7 +17,7 @@
 	now    time.Time // time of the current input
 
 	table   *upstream.Table
-	crashes *upstream.Strikes
+	crashes *upstream.CrashRecords
 	hints   *upstream.CacheHints
 	gates   []Gate
 
@@ -106,7 +106,7 @@
 		config:   config,
 		rng:      rng,
 		table:    table,
-		crashes:  upstream.NewStrikes(config.CrashLifetime, table.Bump),
+		crashes:  upstream.NewCrashRecords(config.CrashLifetime, table.NextVersion),
 		hints:    upstream.NewCacheHints(),
 		requests: make(map[string]*request),
 		attempts: make(map[AttemptID]*attempt),
@@ -144,10 +144,10 @@
 // this gate owns.
 func (s *Shard) Changes(since uint64) (upstream.Digest, uint64) {
 	d, version := s.table.Changes(since)
-	d.Strikes = s.crashes.Changes(since)
+	d.Crashes = s.crashes.Changes(since)
 	for _, r := range s.replicas {
 		if s.ownsReplica(r) && r.loadVersion > since {
-			d.Feeding = append(d.Feeding, s.ownerLoad(r))
+			d.OwnerLoads = append(d.OwnerLoads, s.ownerLoad(r))
 		}
 	}
 	return d, version
--- a/internal/route/stall.go
+++ b/internal/route/stall.go
@@ -57,7 +57,7 @@
 	mayResume := req.Class == Online && req.delivered && (req.Resumable || req.Movable) && a.replica.entry.CanResume &&
 		a.tokens > 0 && len(req.liveAttempts) == 1 && req.stalls < maxStallResumes
 	return mayResume && s.now.Sub(a.lastProgress) >= after &&
-		s.crashes.Standing(s.now, req.Fingerprint) == upstream.StandingClear && s.othersProgress(a, after)
+		s.crashes.Status(s.now, req.Fingerprint) == upstream.StatusClear && s.othersProgress(a, after)
 }
 
 // othersProgress reports whether other streams of the replica make progress, or there
--- a/internal/route/suspect_item_test.go
+++ b/internal/route/suspect_item_test.go
@@ -22,7 +22,7 @@
 	r := newRig(t, route.Config{}, 2)
 	r.step(route.GatesChanged{Gates: []route.Gate{{ID: "gate-0", Place: "glas-a"}, {ID: "gate-1", Place: "glas-a"}}})
 	first := item("notice-1")
-	r.step(route.CrashesReported{Crashes: []upstream.Strike{{
+	r.step(route.CrashesReported{Crashes: []upstream.CrashRecord{{
 		Fingerprint: first.Fingerprint, Replica: "r9", Incarnation: 1, Gate: "gate-0", At: r.now,
 	}}})
 	r.arrive(first)
@@ -42,7 +42,7 @@
 	r.step(route.GatesChanged{Gates: []route.Gate{{ID: "gate-0", Place: "edin-b"}, {ID: "gate-1", Place: "glas-a"}}})
 	first := item("notice-1")
 	first.RetryUntilAnswered = false
-	r.step(route.CrashesReported{Crashes: []upstream.Strike{{
+	r.step(route.CrashesReported{Crashes: []upstream.CrashRecord{{
 		Fingerprint: first.Fingerprint, Replica: "r9", Incarnation: 1, Gate: "gate-0", At: r.now,
 	}}})
 	r.arrive(first)
--- a/internal/route/usage.go
+++ b/internal/route/usage.go
@@ -66,7 +66,7 @@
 	} else {
 		r.loadReports[i] = report
 	}
-	r.loadVersion = s.table.Bump()
+	r.loadVersion = s.table.NextVersion()
 	s.updateKnownPeak(r)
 	s.freeSlots(r, in.Gate)
 	s.startWaiting()
@@ -90,17 +90,17 @@
 }
 
 // OwnerLoad returns the known load of a replica that this gate owns.
-func (s *Shard) OwnerLoad(id upstream.ReplicaID) upstream.Feeding {
+func (s *Shard) OwnerLoad(id upstream.ReplicaID) upstream.OwnerLoad {
 	r := s.replica(id)
 	if r == nil {
-		return upstream.Feeding{Replica: id}
+		return upstream.OwnerLoad{Replica: id}
 	}
 	return s.ownerLoad(r)
 }
 
-func (s *Shard) ownerLoad(r *replica) upstream.Feeding {
+func (s *Shard) ownerLoad(r *replica) upstream.OwnerLoad {
 	online, batch := s.sumLoadReports(r)
-	return upstream.Feeding{
+	return upstream.OwnerLoad{
 		Replica: r.entry.Replica,
 		Batch:   r.batch + batch,
 		Online:  r.online + online + r.unaccounted,
--- a/internal/routes/check.go
+++ b/internal/routes/check.go
@@ -8,14 +8,14 @@
 
 // Reasons for refusing a document.
 const (
-	ReasonUnreadable     apierr.Reason = "routes_unreadable"
-	ReasonNoVersion      apierr.Reason = "routes_without_version"
-	ReasonUnknownService apierr.Reason = "route_to_unknown_service"
-	ReasonSamePlace      apierr.Reason = "routes_on_one_prefix"
-	ReasonNoWeight       apierr.Reason = "route_without_weight"
-	ReasonNoTimeout      apierr.Reason = "route_without_timeout"
-	ReasonBadRoute       apierr.Reason = "route_incomplete"
-	ReasonSharedKey      apierr.Reason = "teams_share_key"
+	ReasonUnreadable      apierr.Reason = "routes_unreadable"
+	ReasonNoVersion       apierr.Reason = "routes_without_version"
+	ReasonUnknownService  apierr.Reason = "route_to_unknown_service"
+	ReasonDuplicatePrefix apierr.Reason = "routes_on_one_prefix"
+	ReasonNoWeight        apierr.Reason = "route_without_weight"
+	ReasonNoTimeout       apierr.Reason = "route_without_timeout"
+	ReasonBadRoute        apierr.Reason = "route_incomplete"
+	ReasonSharedKey       apierr.Reason = "teams_share_key"
 )
 
 func invalid(reason apierr.Reason, remedy, format string, args ...any) *apierr.Error {
@@ -39,7 +39,7 @@
 		}
 		prefix := canonicalHost(route.Host) + " " + route.Prefix
 		if other, found := names[prefix]; found {
-			return invalid(ReasonSamePlace, "use a different host or path prefix for each route",
+			return invalid(ReasonDuplicatePrefix, "use a different host or path prefix for each route",
 				"routes %q and %q both have the host and prefix %q", other, route.Name, prefix)
 		}
 		names[prefix] = route.Name
--- a/internal/routes/document.go
+++ b/internal/routes/document.go
@@ -48,7 +48,7 @@
 	Priority      int           `cbor:"8,keyasint,omitempty"` // 0 is served first
 	MaxAttempts   int           `cbor:"9,keyasint"`           // maximum number of upstreams that a request is sent to
 	Resumable     bool          `cbor:"10,keyasint,omitempty"`
-	LongestPause  time.Duration `cbor:"11,keyasint,omitempty"` // maximum time between events of a healthy stream
+	MaxEventGap   time.Duration `cbor:"11,keyasint,omitempty"` // maximum time between events of a healthy stream
 
 	Anonymous bool `cbor:"15,keyasint,omitempty"` // requests need no key
 
@@ -78,7 +78,7 @@
 	MemoryTokens int `cbor:"2,keyasint,omitempty"` // capacity for running requests and cached prompts
 	// CanMove means that a run can be stopped and resumed from its saved memory, on
 	// the same replica or another one.
-	Moves bool `cbor:"3,keyasint,omitempty"`
+	CanMove bool `cbor:"3,keyasint,omitempty"`
 }
 
 // Limits limits the size and the duration of callers' requests.
--- a/internal/routes/pack_test.go
+++ b/internal/routes/pack_test.go
@@ -23,7 +23,7 @@
 	return d
 }
 
-func TestPackedDocumentsComeBack(t *testing.T) {
+func TestPackAndUnpack(t *testing.T) {
 	d := documentWithRoutes(50)
 	packed, err := routes.Pack(d)
 	if err != nil {
--- a/internal/routes/registry.go
+++ b/internal/routes/registry.go
@@ -9,7 +9,7 @@
 // document, even if it was not applied: the operator need not send it again.
 type Outcome struct {
 	Applied bool          `cbor:"1,keyasint"` // the document is now in force
-	Held    uint64        `cbor:"2,keyasint"` // version in force afterwards
+	Current uint64        `cbor:"2,keyasint"` // version in force afterwards
 	Refusal *apierr.Error `cbor:"3,keyasint,omitempty"`
 }
 
@@ -24,18 +24,18 @@
 // acknowledged content never changes.
 func (r *Registry) Replace(d *Document) Outcome {
 	if refusal := d.Check(); refusal != nil {
-		return Outcome{Held: r.current.Version, Refusal: refusal}
+		return Outcome{Current: r.current.Version, Refusal: refusal}
 	}
 	if d.Version <= r.current.Version {
-		return Outcome{Held: r.current.Version}
+		return Outcome{Current: r.current.Version}
 	}
 	r.current = *d
-	return Outcome{Applied: true, Held: d.Version}
+	return Outcome{Applied: true, Current: d.Version}
 }
 
 // Current returns the document in force; its version is 0 if there is none yet.
 // It must not be modified.
-func (r *Registry) Held() *Document { return &r.current }
+func (r *Registry) Current() *Document { return &r.current }
 
 // Snapshot encodes the registry.
 func (r *Registry) Snapshot() []byte { return codec.MustMarshal(r.current) }
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -26,22 +26,22 @@
 // Two operators use the same version, an older document arrives late, and a document
 // is resent after its answer was lost. All must be acknowledged, while the content
 // of the current version never changes and the version never decreases.
-func TestHighestVersionHoldsAndKeepsItsContent(t *testing.T) {
+func TestHighestVersionIsInForceUnchanged(t *testing.T) {
 	r := &routes.Registry{}
-	if outcome := r.Replace(document(7, nil)); !outcome.Applied || outcome.Held != 7 {
+	if outcome := r.Replace(document(7, nil)); !outcome.Applied || outcome.Current != 7 {
 		t.Fatalf("%+v", outcome)
 	}
 	other := document(7, func(d *routes.Document) { d.Routes = d.Routes[:1] })
 	for name, d := range map[string]*routes.Document{"same again": document(7, nil), "other content": other, "older": document(3, nil)} {
-		if outcome := r.Replace(d); outcome.Refusal != nil || outcome.Applied || outcome.Held != 7 {
+		if outcome := r.Replace(d); outcome.Refusal != nil || outcome.Applied || outcome.Current != 7 {
 			t.Errorf("%s: %+v", name, outcome)
 		}
 	}
-	if len(r.Held().Routes) != 2 {
+	if len(r.Current().Routes) != 2 {
 		t.Fatal("the content of version 7 changed")
 	}
 	restored, err := routes.Restore(r.Snapshot())
-	if err != nil || restored.Held().Version != 7 || len(restored.Held().Routes) != 2 {
+	if err != nil || restored.Current().Version != 7 || len(restored.Current().Routes) != 2 {
 		t.Fatalf("restored %+v, %v", restored, err)
 	}
 	if outcome := restored.Replace(document(9, nil)); !outcome.Applied {
@@ -51,11 +51,11 @@
 
 func TestInvalidDocumentsAreRefusedWithTheirReason(t *testing.T) {
 	cases := map[apierr.Reason]func(*routes.Document){
-		routes.ReasonNoVersion:      func(d *routes.Document) { d.Version = 0 },
-		routes.ReasonUnknownService: func(d *routes.Document) { d.Services = d.Services[:1] },
-		routes.ReasonSamePlace:      func(d *routes.Document) { d.Routes[1].Prefix = "/a/"; d.Routes[1].Host = "NEWS.example:80" },
-		routes.ReasonNoTimeout:      func(d *routes.Document) { d.Routes[0].Timeout = 0 },
-		routes.ReasonBadRoute:       func(d *routes.Document) { d.Routes[0].Kind = "other" },
+		routes.ReasonNoVersion:       func(d *routes.Document) { d.Version = 0 },
+		routes.ReasonUnknownService:  func(d *routes.Document) { d.Services = d.Services[:1] },
+		routes.ReasonDuplicatePrefix: func(d *routes.Document) { d.Routes[1].Prefix = "/a/"; d.Routes[1].Host = "NEWS.example:80" },
+		routes.ReasonNoTimeout:       func(d *routes.Document) { d.Routes[0].Timeout = 0 },
+		routes.ReasonBadRoute:        func(d *routes.Document) { d.Routes[0].Kind = "other" },
 		routes.ReasonNoWeight: func(d *routes.Document) {
 			d.Routes[1].Split[0].Weight = 0
 			d.Routes[1].Split[1].Weight = 0
@@ -67,7 +67,7 @@
 		if outcome.Refusal == nil || outcome.Refusal.Reason != reason || outcome.Refusal.Kind != apierr.Invalid {
 			t.Errorf("%s: %+v", reason, outcome)
 		}
-		if r.Held().Version != 0 {
+		if r.Current().Version != 0 {
 			t.Errorf("%s: the refused document is in force", reason)
 		}
 	}
@@ -93,7 +93,7 @@
 	return r.Name
 }
 
-func TestPickFollowsTheWeightsAndPassesOverUnusableServices(t *testing.T) {
+func TestPickFollowsWeightsAndSkipsUnusableServices(t *testing.T) {
 	route := &document(7, nil).Routes[1]
 	all := func(string) bool { return true }
 	counts := map[string]int{}
--- a/internal/routes/team_test.go
+++ b/internal/routes/team_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestAKeyNamesItsTeam(t *testing.T) {
+func TestKeyIdentifiesItsTeam(t *testing.T) {
 	m := routes.NewMatcher(withTeams(routes.Team{Name: "council", Keys: []routes.KeyHash{routes.HashKey("a")}, Rate: 5}))
 	if team := m.TeamOf("a"); team == nil || team.Name != "council" || team.Rate != 5 {
 		t.Errorf("%+v", team)
--- a/internal/team/registry_test.go
+++ b/internal/team/registry_test.go
@@ -178,7 +178,7 @@
 
 func (m *machine) ask(*rapid.T) { m.updates = append(m.updates, m.registry.Since(m.view.Revision())) }
 
-func (m *machine) askFull(*rapid.T) { m.updates = append(m.updates, m.registry.Full()) }
+func (m *machine) askFull(*rapid.T) { m.updates = append(m.updates, m.registry.FullUpdate()) }
 
 // answer delivers any earlier answer to the gate, possibly late or repeatedly.
 func (m *machine) answer(t *rapid.T) {
@@ -235,7 +235,7 @@
 	})
 }
 
-func TestConflictNamesTheWinner(t *testing.T) {
+func TestConflictReturnsTheWinner(t *testing.T) {
 	registry := team.NewRegistry()
 	template := parse(t, templateText)
 	registry.Apply(team.Change{ID: "c1", Operator: "ann", PutTemplate: &template})
@@ -251,7 +251,7 @@
 	}
 }
 
-func TestTemplateMustFitItsTeams(t *testing.T) {
+func TestTemplateChangeMustSatisfyItsTeams(t *testing.T) {
 	registry := team.NewRegistry()
 	template := parse(t, templateText)
 	registry.Apply(team.Change{ID: "c1", PutTemplate: &template})
--- a/internal/team/update.go
+++ b/internal/team/update.go
@@ -46,14 +46,14 @@
 	}
 	missing := r.revision - revision
 	if missing > uint64(len(r.deltas)) {
-		return r.Full()
+		return r.FullUpdate()
 	}
 	update.Deltas = append(update.Deltas, r.deltas[uint64(len(r.deltas))-missing:]...)
 	return update
 }
 
 // FullUpdate returns an update with the complete configuration.
-func (r *Registry) Full() Update {
+func (r *Registry) FullUpdate() Update {
 	return Update{Revision: r.revision, Full: &Copy{Templates: r.Templates(), Teams: r.Teams()}}
 }
 
--- a/internal/upstream/digest.go
+++ b/internal/upstream/digest.go
@@ -14,11 +14,11 @@
 // Digest carries the changes in one service's table between gates. Merging is
 // idempotent and commutative, so digests may be duplicated, lost or reordered.
 type Digest struct {
-	Service  string         `json:"service"`
-	Identity []Announcement `json:"identity,omitempty"` // replicas whose identity changed
-	Loads    []LoadDigest   `json:"loads,omitempty"`    // replicas of which only the load changed
-	Strikes  []Strike       `json:"strikes,omitempty"`
-	Feeding  []Feeding      `json:"feeding,omitempty"` // replicas that the sending gate owns
+	Service    string         `json:"service"`
+	Identity   []Announcement `json:"identity,omitempty"` // replicas whose identity changed
+	Loads      []LoadDigest   `json:"loads,omitempty"`    // replicas of which only the load changed
+	Crashes    []CrashRecord  `json:"strikes,omitempty"`
+	OwnerLoads []OwnerLoad    `json:"feeding,omitempty"` // replicas that the sending gate owns
 }
 
 // Changes returns the changes after version since, and the current version.
@@ -43,7 +43,7 @@
 
 // ApplyLoad applies a load digest. It ignores a digest for an unknown replica or
 // another incarnation: the replica's identity must arrive first.
-func (t *Table) Report(now time.Time, d LoadDigest) (Change, error) {
+func (t *Table) ApplyLoad(now time.Time, d LoadDigest) (Change, error) {
 	e := t.Get(d.Replica)
 	if e == nil || e.Incarnation != d.Incarnation {
 		return ChangeNone, nil
@@ -57,7 +57,7 @@
 // OwnerLoad is a replica's load as its owner gate knows it. All gates report to
 // the owner immediately what they send to the replica, so this is more recent
 // than the replica's own report, and it separates batch from online work.
-type Feeding struct {
+type OwnerLoad struct {
 	Replica ReplicaID `json:"r"`
 	Batch   int       `json:"b"` // batch requests
 	Online  int       `json:"o"` // online requests of all gates
--- a/internal/upstream/strikes.go
+++ b/internal/upstream/strikes.go
@@ -23,7 +23,7 @@
 
 // CrashRecord records that a request was running on a replica when that
 // incarnation of the replica crashed.
-type Strike struct {
+type CrashRecord struct {
 	Fingerprint Fingerprint `json:"f"`
 	Replica     ReplicaID   `json:"r"`
 	Incarnation uint64      `json:"i"`
@@ -35,13 +35,13 @@
 }
 
 // FingerprintStatus determines how requests with a fingerprint may run.
-type Standing int
+type FingerprintStatus int
 
 // Statuses of a fingerprint.
 const (
-	StandingClear     Standing = iota // no crash: no restrictions
-	StandingSuspect                   // one crash: one attempt at a time, by one gate
-	StandingCondemned                 // two crashes: refused
+	StatusClear   FingerprintStatus = iota // no crash: no restrictions
+	StatusSuspect                          // one crash: one attempt at a time, by one gate
+	StatusRefused                          // two crashes: refused
 )
 
 // refuseAtCrashes is the number of crashes at which a request is refused.
@@ -49,21 +49,21 @@
 
 // CrashRecords holds the crash records of one service. Merging two sets keeps
 // each record once, cleared if either set has it cleared.
-type Strikes struct {
+type CrashRecords struct {
 	lifetime      time.Duration
 	nextVersion   func() uint64
-	byFingerprint map[Fingerprint][]Strike // sorted by replica, incarnation, gate
+	byFingerprint map[Fingerprint][]CrashRecord // sorted by replica, incarnation, gate
 }
 
 // NewCrashRecords creates an empty set whose records expire after lifetime.
 // nextVersion returns the version for each change.
-func NewStrikes(lifetime time.Duration, nextVersion func() uint64) *Strikes {
-	return &Strikes{lifetime: lifetime, nextVersion: nextVersion, byFingerprint: make(map[Fingerprint][]Strike)}
+func NewCrashRecords(lifetime time.Duration, nextVersion func() uint64) *CrashRecords {
+	return &CrashRecords{lifetime: lifetime, nextVersion: nextVersion, byFingerprint: make(map[Fingerprint][]CrashRecord)}
 }
 
 // Add adds a crash record and reports whether the set changed: the record was
 // new or cleared an existing one.
-func (s *Strikes) Add(record Strike) bool {
+func (s *CrashRecords) Add(record CrashRecord) bool {
 	list := s.byFingerprint[record.Fingerprint]
 	i, found := slices.BinarySearchFunc(list, record, compareRecords)
 	if !found {
@@ -79,7 +79,7 @@
 	return false
 }
 
-func compareRecords(a, b Strike) int {
+func compareRecords(a, b CrashRecord) int {
 	return cmp.Or(
 		cmp.Compare(a.Replica, b.Replica),
 		cmp.Compare(a.Incarnation, b.Incarnation),
@@ -88,8 +88,8 @@
 
 // Clear marks the records of a fingerprint as cleared, since a request with it
 // has completed, and returns the records that changed.
-func (s *Strikes) Clear(fingerprint Fingerprint) []Strike {
-	var changed []Strike
+func (s *CrashRecords) Clear(fingerprint Fingerprint) []CrashRecord {
+	var changed []CrashRecord
 	list := s.byFingerprint[fingerprint]
 	for i := range list {
 		if !list[i].Cleared {
@@ -106,24 +106,24 @@
 // service with a single replica is protected as well. A harmless request that
 // was on a faulty VM is retried elsewhere, completes and is cleared before it
 // sees a second crash.
-func (s *Strikes) Standing(now time.Time, fingerprint Fingerprint) Standing {
+func (s *CrashRecords) Status(now time.Time, fingerprint Fingerprint) FingerprintStatus {
 	list, found := s.byFingerprint[fingerprint]
 	if !found {
-		return StandingClear
+		return StatusClear
 	}
 	switch crashes := s.countCrashes(now, list); {
 	case crashes >= refuseAtCrashes:
-		return StandingCondemned
+		return StatusRefused
 	case crashes > 0:
-		return StandingSuspect
+		return StatusSuspect
 	default:
-		return StandingClear
+		return StatusClear
 	}
 }
 
 // CrashCount returns the number of crashes while the fingerprint was running and
 // the time of the last one.
-func (s *Strikes) Deaths(now time.Time, fingerprint Fingerprint) (int, time.Time) {
+func (s *CrashRecords) CrashCount(now time.Time, fingerprint Fingerprint) (int, time.Time) {
 	list := s.byFingerprint[fingerprint]
 	var last time.Time
 	for _, record := range list {
@@ -134,9 +134,9 @@
 	return s.countCrashes(now, list), last
 }
 
-func (s *Strikes) countCrashes(now time.Time, list []Strike) int {
+func (s *CrashRecords) countCrashes(now time.Time, list []CrashRecord) int {
 	count := 0
-	var last Strike
+	var last CrashRecord
 	for _, record := range list {
 		if !s.isActive(now, record) {
 			continue
@@ -151,7 +151,7 @@
 }
 
 // isActive reports whether a record is neither cleared nor expired.
-func (s *Strikes) isActive(now time.Time, record Strike) bool {
+func (s *CrashRecords) isActive(now time.Time, record CrashRecord) bool {
 	return !record.Cleared && now.Sub(record.At) <= s.lifetime
 }
 
@@ -162,7 +162,7 @@
 //
 // Otherwise a client that resends through several gates would crash a replica
 // for each gate that has not yet received the second crash record.
-func (s *Strikes) Holder(now time.Time, fingerprint Fingerprint, isLive func(gate string) bool) string {
+func (s *CrashRecords) RetryGate(now time.Time, fingerprint Fingerprint, isLive func(gate string) bool) string {
 	first := ""
 	for _, record := range s.byFingerprint[fingerprint] {
 		if !s.isActive(now, record) || !isLive(record.Gate) {
@@ -177,7 +177,7 @@
 
 // CrashedReplicas returns the replicas that crashed while the fingerprint was
 // running.
-func (s *Strikes) Struck(now time.Time, fingerprint Fingerprint) []ReplicaID {
+func (s *CrashRecords) CrashedReplicas(now time.Time, fingerprint Fingerprint) []ReplicaID {
 	var ids []ReplicaID
 	for _, record := range s.byFingerprint[fingerprint] {
 		if s.isActive(now, record) && !slices.Contains(ids, record.Replica) {
@@ -188,9 +188,9 @@
 }
 
 // Expire removes the records that are older than the lifetime.
-func (s *Strikes) Expire(now time.Time) {
+func (s *CrashRecords) Expire(now time.Time) {
 	for fingerprint, list := range s.byFingerprint {
-		list = slices.DeleteFunc(list, func(record Strike) bool { return now.Sub(record.At) > s.lifetime })
+		list = slices.DeleteFunc(list, func(record CrashRecord) bool { return now.Sub(record.At) > s.lifetime })
 		if len(list) == 0 {
 			delete(s.byFingerprint, fingerprint)
 			continue
@@ -201,8 +201,8 @@
 
 // Changes returns the records that changed after version since, ordered by
 // fingerprint, replica, incarnation and gate.
-func (s *Strikes) Changes(since uint64) []Strike {
-	var changed []Strike
+func (s *CrashRecords) Changes(since uint64) []CrashRecord {
+	var changed []CrashRecord
 	for _, list := range s.byFingerprint {
 		for _, record := range list {
 			if record.version > since {
@@ -210,7 +210,7 @@
 			}
 		}
 	}
-	slices.SortFunc(changed, func(a, b Strike) int {
+	slices.SortFunc(changed, func(a, b CrashRecord) int {
 		return cmp.Or(cmp.Compare(a.Fingerprint, b.Fingerprint), compareRecords(a, b))
 	})
 	return changed
--- a/internal/upstream/table.go
+++ b/internal/upstream/table.go
@@ -27,7 +27,7 @@
 // Entry is a gate's record of one replica.
 type Entry struct {
 	Announcement
-	Seen time.Time // arrival of the last announcement that was not stale
+	LastAnnounced time.Time // arrival of the last announcement that was not stale
 
 	version         uint64 // table version of the last change
 	identityVersion uint64 // table version of the last change beyond load
@@ -46,7 +46,7 @@
 
 // NextVersion increments the version and returns it, for changes that are stored
 // elsewhere and sent in the same digests.
-func (t *Table) Bump() uint64 {
+func (t *Table) NextVersion() uint64 {
 	t.version++
 	return t.version
 }
@@ -78,7 +78,7 @@
 	i, found := t.find(a.Replica)
 	if !found {
 		t.version++
-		entry := &Entry{Announcement: a, Seen: now, version: t.version, identityVersion: t.version}
+		entry := &Entry{Announcement: a, LastAnnounced: now, version: t.version, identityVersion: t.version}
 		t.entries = slices.Insert(t.entries, i, entry)
 		return ChangeJoin, nil
 	}
@@ -98,7 +98,7 @@
 	}
 	t.version++
 	e.Announcement = a
-	e.Seen = now
+	e.LastAnnounced = now
 	e.version = t.version
 	if change != ChangeLoad {
 		e.identityVersion = t.version
@@ -114,7 +114,7 @@
 		return ChangeNone
 	}
 	e.Leaving = true
-	e.version = t.Bump()
+	e.version = t.NextVersion()
 	return ChangeLoad
 }
 
@@ -155,7 +155,7 @@
 	var expired []*Entry
 	kept := t.entries[:0]
 	for _, e := range t.entries {
-		if now.Sub(e.Seen) > t.lifetime {
+		if now.Sub(e.LastAnnounced) > t.lifetime {
 			expired = append(expired, e)
 			continue
 		}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestImpossibleAnnouncementsAreRefused(t *testing.T) {
+func TestInvalidAnnouncementsAreRejected(t *testing.T) {
 	cases := map[string]struct {
 		spoil  func(*upstream.Announcement)
 		reason apierr.Reason
@@ -60,7 +60,7 @@
 // An engine announces that it is leaving; a report that one of its threads made
 // earlier arrives later, by another path or with a higher sequence. The replica
 // must stay marked as leaving until its process has restarted.
-func TestLeavingIsNotTakenBack(t *testing.T) {
+func TestLeavingIsNotReset(t *testing.T) {
 	table := upstream.NewTable(lifetime)
 	leaving := announcement("r1", 1, 5)
 	leaving.Leaving = true
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestEntriesTimeOut(t *testing.T) {
+func TestEntriesExpire(t *testing.T) {
 	table := upstream.NewTable(lifetime)
 	_, _ = table.Announce(start, announcement("r1", 1, 1))
 	_, _ = table.Announce(start, announcement("r2", 1, 1))
@@ -93,7 +93,7 @@
 
 // Gates receive announcements in different orders, some twice. Once each gate
 // has received all of them, their tables must be equal.
-func TestTablesAgree(t *testing.T) {
+func TestTablesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []upstream.Announcement
 		for range rapid.IntRange(1, 12).Draw(t, "count") {
@@ -123,7 +123,7 @@
 
 // A peer that asks with the version that it has receives only the changes since,
 // in compact form where only the load changed.
-func TestChangesTravelOnce(t *testing.T) {
+func TestChangesAreSentOnce(t *testing.T) {
 	table := upstream.NewTable(lifetime)
 	_, _ = table.Announce(start, announcement("r1", 1, 1))
 	_, _ = table.Announce(start, announcement("r2", 1, 1))
@@ -142,11 +142,11 @@
 
 // Crash records and their clearing reach gates in different orders, some twice.
 // All gates must then derive the same status for a request.
-func TestStrikesAgree(t *testing.T) {
+func TestCrashRecordsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var all []upstream.Strike
+		var all []upstream.CrashRecord
 		for range rapid.IntRange(1, 8).Draw(t, "count") {
-			all = append(all, upstream.Strike{
+			all = append(all, upstream.CrashRecord{
 				Fingerprint: 7,
 				Replica:     upstream.ReplicaID(fmt.Sprint("r", rapid.IntRange(1, 3).Draw(t, "replica"))),
 				Incarnation: 1,
@@ -162,39 +162,39 @@
 		for _, record := range append(rapid.Permutation(all).Draw(t, "order"), all[0]) {
 			other.Add(record)
 		}
-		if a, b := one.Standing(start, 7), other.Standing(start, 7); a != b {
+		if a, b := one.Status(start, 7), other.Status(start, 7); a != b {
 			t.Fatalf("%v and %v", a, b)
 		}
 	})
 }
 
-func newCrashRecords() *upstream.Strikes {
+func newCrashRecords() *upstream.CrashRecords {
 	var version uint64
-	return upstream.NewStrikes(time.Minute, func() uint64 { version++; return version })
+	return upstream.NewCrashRecords(time.Minute, func() uint64 { version++; return version })
 }
 
-func TestStandingCountsDeaths(t *testing.T) {
+func TestStatusCountsCrashes(t *testing.T) {
 	records := newCrashRecords()
-	crash := upstream.Strike{Fingerprint: 7, Replica: "r1", Incarnation: 1, Gate: "g1", At: start}
+	crash := upstream.CrashRecord{Fingerprint: 7, Replica: "r1", Incarnation: 1, Gate: "g1", At: start}
 	records.Add(crash)
 	crash.Gate = "g2" // the same crash, reported by another gate
 	records.Add(crash)
-	if status := records.Standing(start, 7); status != upstream.StandingSuspect {
+	if status := records.Status(start, 7); status != upstream.StatusSuspect {
 		t.Errorf("one crash: %v", status)
 	}
 	crash.Incarnation = 2
 	records.Add(crash)
-	if status := records.Standing(start, 7); status != upstream.StandingCondemned {
+	if status := records.Status(start, 7); status != upstream.StatusRefused {
 		t.Errorf("two crashes: %v", status)
 	}
-	if status := records.Standing(start.Add(time.Hour), 7); status != upstream.StandingClear {
+	if status := records.Status(start.Add(time.Hour), 7); status != upstream.StatusClear {
 		t.Errorf("after the lifetime: %v", status)
 	}
 }
 
 // An event that reports an eviction is lost. All hints for the replica must be
 // discarded, since a wrong hint would otherwise last for long.
-func TestCacheHintsVoidAtGap(t *testing.T) {
+func TestSequenceGapDiscardsCacheHints(t *testing.T) {
 	hints := upstream.NewCacheHints()
 	event := upstream.CacheEvent{Replica: "r1", Incarnation: 1, Sequence: 1, Prefix: 10}
 	hints.Observe(event)
