--- a/internal/control/assign.go
+++ b/internal/control/assign.go
@@ -8,20 +8,21 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// AnnounceAt gives the address at which a replica is to announce itself from now
-// on: that of one control VM, the same whoever is asked. Replicas that go round
-// among all control VMs hold a connection to each of them, and meet those that are
-// no members and refuse them. Empty: no control VM is known to answer.
+// AnnounceAt returns the address of the control VM to which a replica should send its
+// announcements. Every control VM returns the same address for a replica. A replica
+// that rotated among all control VMs would hold a connection to each of them and be
+// refused by those that are not members. AnnounceAt returns "" if no control VM is
+// known to be reachable.
 func (s *Service) AnnounceAt(id upstream.ReplicaID) string {
 	own, err := netip.ParseAddrPort(s.options.Control)
 	if err != nil {
 		return ""
 	}
-	controls := slices.DeleteFunc(slices.Clone(s.knownPeers().controls), s.spreader.isUnreachable)
+	controls := slices.DeleteFunc(slices.Clone(s.knownPeers().controls), s.broadcaster.isUnreachable)
 	chosen, err := netip.ParseAddrPort(rendezvous.Best(string(id), controls))
 	if err != nil {
 		return ""
 	}
-	// Control VMs serve replicas at the same port.
+	// All control VMs serve replicas on the same port.
 	return netip.AddrPortFrom(chosen.Addr(), own.Port()).String()
 }
--- a/internal/control/assign_test.go
+++ b/internal/control/assign_test.go
@@ -8,36 +8,37 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// controlAt makes the part of a control VM that assigns replicas.
-func controlAt(address string, controls []string) *Service {
-	s := &Service{spreader: newSpreader(address+":7660", nil, nil)}
+// newAssigner returns a control VM with only what AnnounceAt needs.
+func newAssigner(address string, controls []string) *Service {
+	s := &Service{broadcaster: newBroadcaster(address+":7660", nil, nil)}
 	s.options.Control = address + ":8146"
 	s.peers = peerCache{lists: peerLists{controls: controls}, at: time.Now().Add(time.Hour)}
 	return s
 }
 
-// Guards against replicas that hold connections to all control VMs, or are sent to one that does not answer.
+// If control VMs disagreed, a replica would hold connections to all of them. Unreachable
+// control VMs must not be assigned.
 func TestAllControlVMsAssignAReplicaToTheSameOne(t *testing.T) {
 	controls := []string{"10.0.0.1:7660", "10.0.0.2:7660", "10.0.0.3:7660"}
-	one, two := controlAt("10.0.0.1", controls), controlAt("10.0.0.2", controls)
+	one, two := newAssigner("10.0.0.1", controls), newAssigner("10.0.0.2", controls)
 	assigned := map[string]int{}
 	for i := range 300 {
 		id := upstream.ReplicaID(fmt.Sprint("replica-", i))
 		at := one.AnnounceAt(id)
 		if other := two.AnnounceAt(id); other != at {
-			t.Fatalf("%s is assigned to %s and %s", id, at, other)
+			t.Fatalf("%s is assigned to both %s and %s", id, at, other)
 		}
 		assigned[at]++
 	}
 	for _, at := range []string{"10.0.0.1:8146", "10.0.0.2:8146", "10.0.0.3:8146"} {
 		if assigned[at] < 50 {
-			t.Errorf("%d of 300 replicas at %s", assigned[at], at)
+			t.Errorf("%d of 300 replicas are assigned to %s, want at least 50", assigned[at], at)
 		}
 	}
-	one.spreader.unreachable["10.0.0.3:7660"] = true
+	one.broadcaster.unreachable["10.0.0.3:7660"] = true
 	for i := range 300 {
 		if at := one.AnnounceAt(upstream.ReplicaID(fmt.Sprint("replica-", i))); at == "10.0.0.3:8146" {
-			t.Fatal("a replica is assigned to a control VM that does not answer")
+			t.Fatal("a replica is assigned to an unreachable control VM")
 		}
 	}
 }
--- a/internal/control/confirm_test.go
+++ b/internal/control/confirm_test.go
@@ -23,8 +23,8 @@
 	"slateway.example/slateway/internal/telemetry"
 )
 
-// leaderAt answers as a leader whose routes have a version.
-func leaderAt(t *testing.T, version uint64) (address string) {
+// startLeader starts a server that reports a version of the routes as their leader does.
+func startLeader(t *testing.T, version uint64) (address string) {
 	mux := http.NewServeMux()
 	rpc.Handle(mux, keeperapi.ReadRoutes, 1<<20, func(context.Context, *keeperapi.ReadRoutesRequest) (*keeperapi.Reply[keeperapi.ReadRoutesResponse], error) {
 		return &keeperapi.Reply[keeperapi.ReadRoutesResponse]{Value: &keeperapi.ReadRoutesResponse{Document: routes.Document{Version: version}}}, nil
@@ -42,14 +42,15 @@
 	config.Apply(replica.Entry{Index: index, Data: codec.MustMarshal(map[int]any{6: packed})})
 }
 
-// Guards against a key that is refused for good because the control VM that was asked has not yet applied the change that added it.
+// A gate confirms its routes before it refuses a key for good. The control VM may not
+// have applied the change that added the key yet, so it must catch up with the leader.
 func TestRoutesAreConfirmedByTheLeader(t *testing.T) {
 	config := keeper.NewConfigMachine()
 	applyRoutes(t, config, 1, 5)
 	calls := rpc.NewClient(&http.Client{})
 	service := control.New(control.Options{
 		VM: "control-1", Folder: t.TempDir(), Group: &member{}, Config: config, Calls: calls,
-		Keepers: keeperclient.New(calls, []string{leaderAt(t, 7)}), Log: zap.NewNop(), Metrics: telemetry.NewMetrics(),
+		Keepers: keeperclient.New(calls, []string{startLeader(t, 7)}), Log: zap.NewNop(), Metrics: telemetry.NewMetrics(),
 		Roster: roster.Config{ReplicaLifetime: time.Minute, GateLifetime: time.Minute}, AnswerLifetime: time.Second, MaxEntries: 8,
 	})
 	mux := http.NewServeMux()
@@ -64,6 +65,6 @@
 		t.Fatal(err)
 	}
 	if response.Routes == nil || response.Routes.Version != 7 {
-		t.Errorf("confirmed without the routes that were in force: %+v", response.Routes)
+		t.Errorf("got routes %+v, want version 7, which was in force at the request", response.Routes)
 	}
 }
--- a/internal/control/contact.go
+++ b/internal/control/contact.go
@@ -7,15 +7,17 @@
 )
 
 const (
-	// contactWait is how long a question is held by a VM that knows no leader. After
-	// a restart of all control VMs an election takes about as long; refused at
-	// once, each gate would go round among them all the while.
+	// contactWait is how long a VM without a known leader delays a request before it
+	// refuses it. It is about the duration of an election after a restart of all
+	// control VMs; gates that were refused at once would retry against one control VM
+	// after the other until the election ends.
 	contactWait = 300 * time.Millisecond
+	// contactPoll is the interval between two checks for contact.
 	contactPoll = 20 * time.Millisecond
 )
 
-// awaitContact returns when this VM is in contact with the leader of the
-// configuration, after contactWait, or when ctx has ended.
+// awaitContact waits until this VM is in contact with the leader of the configuration
+// group. It gives up after contactWait or when ctx ends.
 func (s *Service) awaitContact(ctx context.Context) {
 	if s.InContact() {
 		return
@@ -23,37 +25,37 @@
 	timer := time.NewTimer(contactWait)
 	defer timer.Stop()
 	select {
-	case <-s.contact.regained(s.InContact):
+	case <-s.contact.wait(s.InContact):
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// contactWatch looks for contact with the leader on behalf of all calls that wait
-// for it. Hundreds of gates may ask a VM that has just started; looking in each
-// call would take the processor time that the election needs.
+// contactWatch polls for contact with the leader on behalf of all waiting calls.
+// Hundreds of gates may call a VM that has just started; polling in each call would
+// use the processor time that the election needs.
 type contactWatch struct {
-	mu    sync.Mutex
-	found chan struct{} // closes when the look in progress ends; nil: none
+	mu   sync.Mutex
+	done chan struct{} // closed when the current poll ends; nil if none is running
 }
 
-// regained gives a channel that closes when inContact holds, or after contactWait.
-func (w *contactWatch) regained(inContact func() bool) <-chan struct{} {
+// wait returns a channel that closes when inContact returns true, or after contactWait.
+func (w *contactWatch) wait(inContact func() bool) <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.found == nil {
-		w.found = make(chan struct{})
-		go w.look(inContact)
+	if w.done == nil {
+		w.done = make(chan struct{})
+		go w.poll(inContact)
 	}
-	return w.found
+	return w.done
 }
 
-func (w *contactWatch) look(inContact func() bool) {
+func (w *contactWatch) poll(inContact func() bool) {
 	for end := time.Now().Add(contactWait); !inContact() && time.Now().Before(end); {
 		time.Sleep(contactPoll)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	close(w.found)
-	w.found = nil
+	close(w.done)
+	w.done = nil
 }
--- a/internal/control/controlapi/api.go
+++ b/internal/control/controlapi/api.go
@@ -1,5 +1,5 @@
-// Package controlapi defines the calls of control VMs: what gates ask of them,
-// and what they tell each other.
+// Package controlapi defines the remote procedures of control VMs: those that gates
+// call and those that control VMs call on each other and on gates.
 package controlapi
 
 import (
@@ -14,12 +14,12 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// MaxMessageBytes bounds the body of a call: the largest document of routes, as
-// its operator sent it and decoded.
+// MaxMessageBytes bounds the body of a call. It fits the largest route document, which
+// carries both the operator's source text and its decoded form.
 const MaxMessageBytes = 16 << 20
 
-// ReasonNoContact refuses calls to a control VM that knows no leader: what it
-// knows may be old.
+// ReasonNoContact is the reason with which a control VM that is not in contact with the
+// leader refuses calls, because its state may be out of date.
 const ReasonNoContact apierr.Reason = "control_no_contact"
 
 // Procedures.
@@ -30,56 +30,56 @@
 	Invite rpc.Procedure[InviteRequest, InviteResponse] = "/slateway.control/Invite"
 )
 
-// InviteRequest tells a gate of a control VM that it can follow.
+// InviteRequest informs a gate of a control VM that it can follow.
 type InviteRequest struct {
 	Control string `cbor:"1,keyasint"` // peers address
 }
 
-// InviteResponse says that it was read.
+// InviteResponse acknowledges an InviteRequest.
 type InviteResponse struct{}
 
-// FollowRequest is a gate's report and its question for what is new. The answer
-// waits until there is something, Wait at most.
+// FollowRequest carries a gate's report and long-polls for changes. The control VM
+// responds as soon as there is a change, and after Wait at the latest.
 type FollowRequest struct {
 	Gate   roster.Gate   `cbor:"1,keyasint"`
-	Routes uint64        `cbor:"2,keyasint"` // version that the gate serves by
-	Epoch  string        `cbor:"3,keyasint"` // of the last answer
-	Since  uint64        `cbor:"4,keyasint"` // roster version of the last answer
+	Routes uint64        `cbor:"2,keyasint"` // version of the routes that the gate uses
+	Epoch  string        `cbor:"3,keyasint"` // of the last response
+	Since  uint64        `cbor:"4,keyasint"` // roster version of the last response
 	Wait   time.Duration `cbor:"5,keyasint"`
-	// Peers is the hash of the lists of control VMs and keepers of the last answer.
+	// PeersHash is the hash of the control VM and keeper lists in the last response.
 	Peers uint64 `cbor:"6,keyasint"`
-	// TakesPacked: newer routes may come packed.
+	// AcceptsPacked reports whether the gate can decode packed routes.
 	TakesPacked bool `cbor:"7,keyasint,omitempty"`
-	// TakesGateChanges: the gates may come as changes, not as a whole list, and all
-	// changes may come packed.
+	// AcceptsGateChanges reports whether the gate can apply incremental changes of the
+	// gate list, rather than the full list, and decode packed changes.
 	TakesGateChanges bool `cbor:"8,keyasint,omitempty"`
-	// Confirm asks for the routes in force when the question came: the control VM
-	// first asks the leader whether it lacks any.
+	// Confirm requests routes that are at least as new as those in force when the
+	// request arrived: the control VM first asks the leader for their version.
 	Confirm bool `cbor:"9,keyasint,omitempty"`
 }
 
-// FollowResponse brings the gate forward.
+// FollowResponse carries the changes since the gate's last response.
 type FollowResponse struct {
-	// Epoch names the run of the control VM's process; roster versions count
-	// within it.
+	// Epoch identifies the run of the control VM's process. Roster versions are
+	// comparable only within one epoch.
 	Epoch    string           `cbor:"1,keyasint"`
 	Changes  roster.Changes   `cbor:"2,keyasint"`
 	Routes   *routes.Document `cbor:"3,keyasint,omitempty"` // if newer than the gate's
-	Controls []string         `cbor:"4,keyasint,omitempty"` // peers addresses of the control VMs, if they changed
-	Keepers  []string         `cbor:"5,keyasint,omitempty"` // of all VMs that hold replicated state, if they changed
+	Controls []string         `cbor:"4,keyasint,omitempty"` // peers addresses of the control VMs, if a list changed
+	Keepers  []string         `cbor:"5,keyasint,omitempty"` // of all VMs that hold replicated state, if a list changed
 	Peers    uint64           `cbor:"6,keyasint"`           // hash of the two lists
-	Packed   routes.Packed    `cbor:"7,keyasint,omitempty"` // in place of Routes, for a gate that takes it
-	// PackedChanges are Changes that are large, for a gate that takes GateChanges.
+	Packed   routes.Packed    `cbor:"7,keyasint,omitempty"` // replaces Routes for a gate with AcceptsPacked
+	// PackedChanges replaces Changes that are large, for a gate with AcceptsGateChanges.
 	PackedChanges []byte `cbor:"8,keyasint,omitempty"`
-	// ExpectedGates is how many gates there are, also those that were known before
-	// this VM started and may not be back.
+	// ExpectedGates is the number of gates, including gates that were known before this
+	// VM restarted and have not reported since.
 	ExpectedGates int `cbor:"9,keyasint,omitempty"`
-	// GatesBefore are those of them that are not back, with an answer that gives
-	// everything.
+	// MissingGates lists the gates that were known before this VM restarted and have
+	// not reported since. It is sent only with a full response.
 	GatesBefore []roster.Gate `cbor:"10,keyasint,omitempty"`
 }
 
-// Unpack puts packed changes in the place of Changes.
+// Unpack decodes PackedChanges, if present, into Changes.
 func (r *FollowResponse) Unpack() error {
 	if len(r.PackedChanges) == 0 {
 		return nil
@@ -88,29 +88,29 @@
 	return codec.Unpack(r.PackedChanges, MaxMessageBytes, &r.Changes)
 }
 
-// HasRoutes says whether it brings newer routes.
+// HasRoutes reports whether the response carries newer routes.
 func (r *FollowResponse) HasRoutes() bool { return r.Routes != nil || len(r.Packed) > 0 }
 
-// Left names a replica that leaves, by its ID alone.
-type Left struct {
+// Departure identifies a replica that leaves.
+type Departure struct {
 	Replica     upstream.ReplicaID `cbor:"1,keyasint"`
-	Incarnation uint64             `cbor:"2,keyasint"` // 0: the one known
+	Incarnation uint64             `cbor:"2,keyasint"` // 0 means the current one
 }
 
-// ShareRequest tells another control VM what was heard.
+// ShareRequest sends another control VM the reports that this one has received.
 type ShareRequest struct {
-	From     string                 `cbor:"1,keyasint"` // peers address
-	Replicas []roster.ReplicaReport `cbor:"2,keyasint,omitempty"`
-	Gates    []roster.GateReport    `cbor:"3,keyasint,omitempty"`
-	Left     []Left                 `cbor:"4,keyasint,omitempty"`
-	// Whole asks for everything that the other one knows.
-	Whole bool `cbor:"5,keyasint,omitempty"`
-	// Candidates are the VMs that wait to hold replicated state, as the leader of
-	// the configuration knows them: they greet leaders only.
+	From       string                 `cbor:"1,keyasint"` // peers address
+	Replicas   []roster.ReplicaReport `cbor:"2,keyasint,omitempty"`
+	Gates      []roster.GateReport    `cbor:"3,keyasint,omitempty"`
+	Departures []Departure            `cbor:"4,keyasint,omitempty"`
+	// Full requests all reports that the receiver holds.
+	Full bool `cbor:"5,keyasint,omitempty"`
+	// Candidates are the VMs that wait to hold replicated state. The leader of the
+	// configuration group shares them because candidates contact leaders only.
 	Candidates []quorum.Member `cbor:"6,keyasint,omitempty"`
 }
 
-// ShareResponse gives everything, if that was asked for.
+// ShareResponse carries all reports if the request asked for them.
 type ShareResponse struct {
 	Replicas []roster.ReplicaReport `cbor:"1,keyasint,omitempty"`
 	Gates    []roster.GateReport    `cbor:"2,keyasint,omitempty"`
--- a/internal/control/follow.go
+++ b/internal/control/follow.go
@@ -15,19 +15,20 @@
 	"slateway.example/slateway/internal/routes"
 )
 
-// maxFollowWait bounds how long a gate's question is held. The gate's report comes
-// with its question, so it also bounds how old that report gets.
+// maxFollowWait bounds a gate's long poll. Each poll carries the gate's report, so this
+// also bounds the age of that report.
 const maxFollowWait = time.Second
 
-// follow takes in a gate's report and answers when there is something new.
+// follow records a gate's report and responds when there are changes, or when the long
+// poll times out.
 func (s *Service) follow(ctx context.Context, request *controlapi.FollowRequest) (*controlapi.FollowResponse, error) {
 	since := request.Since
 	if request.Epoch != s.epoch {
 		since = 0
 	}
 	if request.Routes == 0 && s.hasJustStarted() && !s.InContact() {
-		if response, news, _ := s.answer(request, since); news && response.HasRoutes() {
-			s.options.Log.Info("a gate without routes starts by those on disk", zap.String("gate", request.Gate.VM),
+		if response, changed, _ := s.answer(request, since); changed && response.HasRoutes() {
+			s.options.Log.Info("no leader yet after a restart: sending the routes on disk to a gate without routes", zap.String("gate", request.Gate.VM),
 				zap.Uint64("version", s.options.Config.Routes().Version()))
 			return response, nil
 		}
@@ -41,22 +42,22 @@
 			return nil, err
 		}
 	}
-	s.hear(ctx, &request.Gate)
-	defer s.attend(ctx, &request.Gate)()
+	s.recordGateReport(ctx, &request.Gate)
+	defer s.trackLongPoll(ctx, &request.Gate)()
 	s.followers.Add(1)
 	defer s.followers.Add(-1)
 	timer := time.NewTimer(min(request.Wait, maxFollowWait))
 	defer timer.Stop()
 	for {
 		routesChanged := s.options.Config.Changed()
-		response, news, rosterChanged := s.answer(request, since)
-		if news {
+		response, changed, rosterChanged := s.answer(request, since)
+		if changed {
 			return response, nil
 		}
 		select {
 		case <-routesChanged:
 		case <-rosterChanged:
-			s.gather(ctx, routesChanged)
+			s.batchChanges(ctx, routesChanged)
 		case <-timer.C:
 			if err := s.requireContact(); err != nil {
 				return nil, err
@@ -68,7 +69,8 @@
 	}
 }
 
-// catchUp returns once this VM has all routes that were acknowledged before the call.
+// catchUp waits until this VM has applied all routes that were acknowledged before the
+// call.
 func (s *Service) catchUp(ctx context.Context) error {
 	version, err := s.options.Keepers.RoutesVersion(ctx, s.options.Config.Routes().Version())
 	if err != nil {
@@ -87,35 +89,34 @@
 	}
 }
 
-// startTime is how long a VM counts as just started: as long as an election may
-// take that begins when all control VMs are back, several times over.
-const startTime = 3 * time.Second
+// startupPeriod is how long a VM counts as just started. It is several times the
+// duration of an election that begins when all control VMs are back.
+const startupPeriod = 3 * time.Second
 
-// hasJustStarted says whether this VM knows no leader because it has just started.
+// hasJustStarted reports whether this VM has started so recently that no leader may have
+// been elected yet.
 //
-// Failure guarded against: all processes of a site are stopped and come back
-// together. Callers come at once, and gates would have no routes for them until a
-// leader is elected. What is on this VM's disk was committed, so it was
-// in force; a gate without routes serves by it, and takes newer routes, never older
-// ones, with its next question, which is held until there is a leader. A VM that has
-// run for longer has lost contact with others that may have moved on: the gate asks
-// these.
-func (s *Service) hasJustStarted() bool { return time.Since(s.started) < startTime }
+// When all processes of a site restart together, gates would have no routes for their
+// callers until a leader is elected. The routes on this VM's disk were committed, so a
+// gate without routes may use them; its next long poll, which needs a leader, brings
+// newer routes and never older ones. A VM that has run for longer has lost contact with
+// others that may hold newer routes, so the gate must ask those.
+func (s *Service) hasJustStarted() bool { return time.Since(s.started) < startupPeriod }
 
-// gatherPerFollower is the time for which changes of the roster are gathered, for
-// each gate that waits for them. It bounds the answers to 250 a second, however
-// many gates follow: each change of one gate would else be an answer to each other
-// one, which is the square of their number when all of them start together.
-const gatherPerFollower = 4 * time.Millisecond
+// batchDelayPerFollower is the delay per waiting gate for which roster changes are
+// batched. It bounds the responses to 250 a second for any number of gates. Without it,
+// each change of one gate causes a response to every other gate, which is quadratic in
+// the number of gates when all of them start together.
+const batchDelayPerFollower = 4 * time.Millisecond
 
-// maxGather bounds the gathering: a replica that leaves relies on the news being
-// at all gates soon after its acknowledgement.
-const maxGather = 250 * time.Millisecond
+// maxBatchDelay bounds the batching delay: a replica that leaves relies on all gates
+// being notified soon after its acknowledgement.
+const maxBatchDelay = 250 * time.Millisecond
 
-// gather lets further changes of the roster come before followers are answered.
-// New routes are not waited with.
-func (s *Service) gather(ctx context.Context, routesChanged <-chan struct{}) {
-	timer := time.NewTimer(min(maxGather, time.Duration(s.followers.Load())*gatherPerFollower))
+// batchChanges waits for further roster changes before followers get a response. It
+// returns at once when the routes change.
+func (s *Service) batchChanges(ctx context.Context, routesChanged <-chan struct{}) {
+	timer := time.NewTimer(min(maxBatchDelay, time.Duration(s.followers.Load())*batchDelayPerFollower))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -124,8 +125,8 @@
 	}
 }
 
-// answer gives what is new for a gate, whether there is anything, and a channel
-// that closes at the next change of the roster.
+// answer builds the response to a gate. It reports whether the response contains changes
+// and returns a channel that closes at the next roster change.
 func (s *Service) answer(request *controlapi.FollowRequest, since uint64) (*controlapi.FollowResponse, bool, <-chan struct{}) {
 	response := &controlapi.FollowResponse{Epoch: s.epoch}
 	s.addPeers(response, request.Peers)
@@ -138,22 +139,22 @@
 	s.addChanges(response, since, request.TakesGateChanges)
 	response.ExpectedGates = s.expectedGates()
 	if since == 0 {
-		response.GatesBefore = s.gatesNotBack(response.ExpectedGates)
+		response.GatesBefore = s.missingGates(response.ExpectedGates)
 	}
-	news := response.HasRoutes() || s.table.Version() > since
-	return response, news, s.changed
+	changed := response.HasRoutes() || s.table.Version() > since
+	return response, changed, s.changed
 }
 
-// addChanges adds what changed in the roster. The mutex is held.
+// addChanges adds the roster changes after version since. The caller holds the mutex.
 func (s *Service) addChanges(response *controlapi.FollowResponse, since uint64, takesGateChanges bool) {
 	if !takesGateChanges {
 		response.Changes = s.table.Since(since)
 		s.table.IncludeAllGates(&response.Changes)
 		return
 	}
-	found, err := s.packedChanges.of(s.table, since)
+	found, err := s.packedChanges.get(s.table, since)
 	if err != nil {
-		s.options.Log.Warn("changes of the roster not packed, sent as they are", zap.Uint64("since", since), zap.Error(err))
+		s.options.Log.Warn("cannot compress roster changes, sending them uncompressed", zap.Uint64("since", since), zap.Error(err))
 		response.Changes = s.table.Since(since)
 		return
 	}
@@ -164,36 +165,35 @@
 	response.Changes = found.changes
 }
 
-// addRoutes adds a document, packed if the gate takes that. It is packed once for
-// all gates.
+// addRoutes adds a route document, packed if the gate accepts that.
 func (s *Service) addRoutes(response *controlapi.FollowResponse, document *routes.Document, packed bool) {
 	if !packed {
 		response.Routes = document
 		return
 	}
-	data, err := s.packed.of(document)
+	data, err := s.packed.get(document)
 	if err != nil {
-		s.options.Log.Warn("routes not packed, sent as they are", zap.Uint64("version", document.Version), zap.Error(err))
+		s.options.Log.Warn("cannot pack routes, sending them unpacked", zap.Uint64("version", document.Version), zap.Error(err))
 		response.Routes = document
 		return
 	}
 	response.Packed = data
 }
 
-// addPeers adds the lists of control VMs and keepers, unless the gate has them.
-// Twice a second to each gate they would be most of the answers' bytes.
-func (s *Service) addPeers(response *controlapi.FollowResponse, known uint64) {
+// addPeers adds the lists of control VMs and keepers unless the gate has them already.
+// Sent to each gate twice a second, they would be most of the bytes of the responses.
+func (s *Service) addPeers(response *controlapi.FollowResponse, knownHash uint64) {
 	peers := s.knownPeers()
 	response.Peers = peers.hash
-	if peers.hash != known {
+	if peers.hash != knownHash {
 		response.Controls, response.Keepers = peers.controls, peers.keepers
 	}
 }
 
 func (s *Service) knownPeers() peerLists { return s.peers.get(time.Now(), s.listPeers) }
 
-// listPeers lists this VM and the members of the groups. A control VM that is no
-// member knows no leader, and a gate would only be sent on by it.
+// listPeers lists this VM and the members of the groups. Other control VMs are left out:
+// without membership they know no leader and would refuse the gate.
 func (s *Service) listPeers() peerLists {
 	lists := peerLists{controls: []string{s.options.Address}}
 	for _, m := range s.options.Group.Members() {
@@ -208,15 +208,15 @@
 	return lists
 }
 
-// peerLists are the peers addresses that gates are told.
+// peerLists are the peers addresses that are sent to gates.
 type peerLists struct {
 	controls []string
 	keepers  []string // all VMs that hold replicated state
 	hash     uint64
 }
 
-// peerCache keeps the lists for peersLifetime: they are made from the members of
-// all groups, under the groups' locks, and every gate asks for them.
+// peerCache caches the lists for peersLifetime. Every gate requests them, and building
+// them takes the locks of all groups.
 type peerCache struct {
 	mu    sync.Mutex
 	lists peerLists
@@ -234,24 +234,24 @@
 	return c.lists
 }
 
-// hear takes in a gate's report; what callers and other gates must know goes to
-// the other control VMs at once, and also that the gate asks here now: the one that it
-// asked before must not take it for silent.
-func (s *Service) hear(ctx context.Context, gate *roster.Gate) {
+// recordGateReport records a gate's report. It shares the report with the other control
+// VMs at once if it changes what callers and other gates need to know, or if the gate
+// has switched to this control VM: the previous one must not consider it unresponsive.
+func (s *Service) recordGateReport(ctx context.Context, gate *roster.Gate) {
 	s.mu.Lock()
-	news := s.table.RecordReport(time.Now(), *gate, 0)
-	turnedHere := s.turnsHere(gate.VM, time.Now())
-	s.heardGates[gate.VM] = struct{}{}
-	if news {
+	changed := s.table.RecordReport(time.Now(), *gate, 0)
+	switched := s.recordFollow(gate.VM, time.Now())
+	s.unsharedGates[gate.VM] = struct{}{}
+	if changed {
 		s.notify()
 	}
 	s.mu.Unlock()
-	if news {
+	if changed {
 		s.options.Log.Info("gate changed", zap.String("gate", gate.VM), zap.String("callers", gate.Callers),
 			zap.Bool("ready", gate.Ready), zap.Bool("draining", gate.Draining), zap.Uint64("sequence", gate.Sequence))
 	}
-	if !news && !turnedHere {
+	if !changed && !switched {
 		return
 	}
-	s.spread(ctx, &controlapi.ShareRequest{Gates: []roster.GateReport{{Gate: *gate}}})
+	s.broadcast(ctx, &controlapi.ShareRequest{Gates: []roster.GateReport{{Gate: *gate}}})
 }
--- a/internal/control/follow_test.go
+++ b/internal/control/follow_test.go
@@ -26,7 +26,7 @@
 	"slateway.example/slateway/internal/telemetry"
 )
 
-// member is a control VM's part in the groups: it follows a leader, and lags.
+// member implements control.Group as a follower with a configurable lag.
 type member struct {
 	lag time.Duration
 
@@ -40,7 +40,7 @@
 func (m *member) Candidates() []quorum.Member          { return nil }
 func (m *member) Known() []quorum.Member               { return nil }
 func (m *member) Retire(context.Context, []string) ([]string, error) {
-	return nil, errors.New("not of this test")
+	return nil, errors.New("not implemented by this fake")
 }
 
 func (m *member) Locate(context.Context) {}
@@ -59,8 +59,8 @@
 
 func candidate(vm string) []quorum.Member { return []quorum.Member{{VM: vm}} }
 
-// startControl serves one control VM that has applied routes of version 5, beside
-// others at the addresses given.
+// startControl starts a control VM that has applied routes of version 5. The other
+// control VMs are at the given addresses.
 func startControl(t *testing.T, m *member, others ...string) (address string, calls *rpc.Client) {
 	t.Helper()
 	config := keeper.NewConfigMachine()
@@ -89,29 +89,28 @@
 	return strings.TrimPrefix(server.URL, "http://"), calls
 }
 
-// An operator's change was acknowledged seconds ago, and a caller is still answered by
-// the routes before it: its gate asks a control VM that hears the leader and is sent
-// no entries. The gate must be told to ask another one.
+// A control VM that receives the leader's heartbeats but no entries would keep its gates
+// on the routes before an acknowledged change. It must send them to another control VM.
 func TestAControlVMThatLagsSendsItsGatesElsewhere(t *testing.T) {
 	m := &member{}
 	address, calls := startControl(t, m)
-	ask := func() (*controlapi.FollowResponse, error) {
+	poll := func() (*controlapi.FollowResponse, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
 		return rpc.Call(ctx, calls, address, controlapi.Follow, &controlapi.FollowRequest{Gate: roster.Gate{VM: "gate-1"}, Routes: 4})
 	}
-	if response, err := ask(); err != nil || response.Routes == nil || response.Routes.Version != 5 {
+	if response, err := poll(); err != nil || response.Routes == nil || response.Routes.Version != 5 {
 		t.Fatalf("got %+v, %v", response, err)
 	}
 	m.lag = 2 * time.Second
-	_, err := ask()
+	_, err := poll()
 	if apierr.ReasonOf(err) != controlapi.ReasonNoContact {
-		t.Errorf("a control VM that lags answers %v", err)
+		t.Errorf("a control VM that lags returns error %v, want reason control_no_contact", err)
 	}
 }
 
-// A gate of the version before cannot unpack routes, and is sent them as they are; one
-// that can is sent them packed, without what their operator sent.
+// Gates of the previous release cannot unpack routes and must get them unpacked. Packed
+// routes leave out the operator's source text.
 func TestRoutesArePackedForGatesThatTakeIt(t *testing.T) {
 	address, calls := startControl(t, &member{})
 	for _, packed := range []bool{true, false} {
@@ -121,7 +120,7 @@
 			t.Fatal(err)
 		}
 		if got := len(response.Packed) > 0; got != packed || (response.Routes != nil) == packed {
-			t.Fatalf("takes packed: %t, got packed: %t and routes: %t", packed, got, response.Routes != nil)
+			t.Fatalf("gate accepts packed: %t, response has packed: %t and unpacked: %t", packed, got, response.Routes != nil)
 		}
 		if !packed {
 			continue
--- a/internal/control/herd_test.go
+++ b/internal/control/herd_test.go
@@ -23,7 +23,8 @@
 	"slateway.example/slateway/internal/telemetry"
 )
 
-// Guards against answers that grow with the square of the gates when all of them start together.
+// Without batching, the responses grow with the square of the number of gates when all
+// gates start together.
 func TestGatesThatStartTogetherAreAnsweredTogether(t *testing.T) {
 	const gates = 120
 	address, calls := startControl(t, &member{})
@@ -55,17 +56,18 @@
 		})
 	}
 	following.Wait()
-	// Each gate must hear of each other one once: no less, and hardly more.
+	// Each gate must receive each other gate once, with few repetitions.
 	if got := entries.Load(); got < gates*gates || got > gates*gates*3/2 {
 		t.Errorf("%d entries for %d gates", got, gates)
 	}
-	// In two seconds each gate is due some 4 answers of held questions and 8 of gathered changes.
+	// In two seconds each gate gets about 4 responses to expired long polls and 8 with
+	// batched changes.
 	if got := answers.Load(); got > gates*16 {
-		t.Errorf("%d answers for %d gates", got, gates)
+		t.Errorf("%d responses for %d gates", got, gates)
 	}
 }
 
-// shareCounter stands for another control VM and counts the calls that it serves.
+// shareCounter is a fake control VM that counts the calls that it serves.
 type shareCounter struct {
 	now, most, calls atomic.Int64
 
@@ -83,8 +85,8 @@
 		time.Sleep(20 * time.Millisecond)
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		for _, heard := range request.Gates {
-			c.gates[heard.Gate.VM] = true
+		for _, report := range request.Gates {
+			c.gates[report.Gate.VM] = true
 		}
 		return &controlapi.ShareResponse{}, nil
 	})
@@ -99,7 +101,8 @@
 	return len(c.gates)
 }
 
-// Guards against a connection to each other control VM for each gate that starts.
+// A separate call for each gate that starts would take as many connections to each other
+// control VM.
 func TestOneCallAtATimeTellsAnotherControlVM(t *testing.T) {
 	const gates = 200
 	other := &shareCounter{}
@@ -118,16 +121,17 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	if other.known() != gates || other.most.Load() > 1 || other.calls.Load() > gates/4 {
-		t.Errorf("%d gates told in %d calls, %d at once", other.known(), other.calls.Load(), other.most.Load())
+		t.Errorf("%d gates shared in %d calls, %d concurrent", other.known(), other.calls.Load(), other.most.Load())
 	}
 }
 
-// Guards against a VM that waits to hold state and cannot be retired, since only leaders are greeted by it.
+// A candidate contacts leaders only. Without sharing, the other control VMs would not
+// know it and refuse to retire it.
 func TestCandidatesOfTheLeaderAreKnownToAll(t *testing.T) {
 	m := &member{}
 	address, calls := startControl(t, m)
-	spare := candidate("store-9")
-	_, err := rpc.Call(context.Background(), calls, address, controlapi.Share, &controlapi.ShareRequest{Candidates: spare})
+	candidates := candidate("store-9")
+	_, err := rpc.Call(context.Background(), calls, address, controlapi.Share, &controlapi.ShareRequest{Candidates: candidates})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +140,8 @@
 	}
 }
 
-// Guards against changes that are encoded and compressed for each gate, when all gates ask for everything at once.
+// When all gates request the full roster at once, it must be encoded and compressed once,
+// not for each gate.
 func TestEverythingIsPackedOnceForAllGates(t *testing.T) {
 	address, calls := startControl(t, &member{})
 	var gates []roster.GateReport
@@ -155,12 +160,12 @@
 			t.Fatal(err)
 		}
 		if len(response.PackedChanges) == 0 || len(response.Changes.Gates) > 0 {
-			t.Fatal("not packed")
+			t.Fatal("the changes are not packed")
 		}
 		if first == nil {
 			first = response.PackedChanges
 		} else if !bytes.Equal(first, response.PackedChanges) {
-			t.Error("packed anew")
+			t.Error("the second response does not reuse the packed changes")
 		}
 		if err := response.Unpack(); err != nil || len(response.Changes.Gates) != 200 {
 			t.Errorf("%d gates, %v", len(response.Changes.Gates), err)
@@ -169,11 +174,12 @@
 	request.TakesGateChanges = false
 	response, err := rpc.Call(ctx, calls, address, controlapi.Follow, request)
 	if err != nil || len(response.PackedChanges) > 0 || len(response.Changes.Gates) != 200 {
-		t.Errorf("a gate of the version before gets %d gates, %v", len(response.Changes.Gates), err)
+		t.Errorf("a gate of the previous release gets %d gates, %v", len(response.Changes.Gates), err)
 	}
 }
 
-// Guards against callers who are sent to a gate for half a second longer than its lifetime after it has gone silent.
+// Expiry that ran only with each share would send callers to an unresponsive gate for up
+// to half a second longer than its lifetime.
 func TestASilentGateIsLeftOutRightAfterItsLifetime(t *testing.T) {
 	const lifetime = 550 * time.Millisecond
 	calls := rpc.NewClient(&http.Client{})
@@ -189,21 +195,21 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	go service.Run(ctx)
-	time.Sleep(50 * time.Millisecond) // between two rounds
+	time.Sleep(50 * time.Millisecond) // between two ticks
 	_, err := rpc.Call(ctx, calls, strings.TrimPrefix(server.URL, "http://"), controlapi.Share, &controlapi.ShareRequest{
 		Gates: []roster.GateReport{{Gate: roster.Gate{VM: "gate-1", Place: "a", Callers: "10.0.0.1:80", Started: 1, Sequence: 1, Ready: true}}},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	heard := time.Now()
+	reported := time.Now()
 	for ctx.Err() == nil {
 		if answer, err := service.Entries("a"); err != nil || len(answer.Entries) == 0 {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	if took := time.Since(heard); took < lifetime || took > lifetime+250*time.Millisecond {
-		t.Errorf("left out after %s, its lifetime is %s", took, lifetime)
+	if took := time.Since(reported); took < lifetime || took > lifetime+250*time.Millisecond {
+		t.Errorf("the gate was removed from the answers after %s, its lifetime is %s", took, lifetime)
 	}
 }
--- a/internal/control/invite.go
+++ b/internal/control/invite.go
@@ -16,30 +16,30 @@
 )
 
 const (
-	// inviteDelay is how long a VM that has just started waits for the others to
-	// tell it of gates that live.
+	// inviteDelay is how long a VM that has just started waits for the other control
+	// VMs to report the gates that are alive.
 	inviteDelay = 100 * time.Millisecond
-	// inviteInterval lies between two calls to a gate that is not back yet.
+	// inviteInterval is the time between two calls to a gate that has not reported yet.
 	inviteInterval = 300 * time.Millisecond
-	// inviteTime is how long gates are called.
-	inviteTime = 4 * time.Second
+	// inviteDuration is how long after the start gates are called.
+	inviteDuration = 4 * time.Second
 	// inviteTimeout bounds one call.
 	inviteTimeout = 250 * time.Millisecond
-	// maxInvites is how many gates are called at once.
+	// maxInvites is the number of concurrent calls.
 	maxInvites = 16
 )
 
-// inviteGates calls the gates that this VM knew before it started and of which it
-// has not heard since.
+// inviteGates calls the gates that this VM knew before its restart and that have not
+// reported since.
 //
-// It guards against callers who wait at gates without routes: a gate has no disk and
-// knows a few control VMs from its settings. When all VMs lose their power and these
-// few are the last ones back, no gate would find any other one.
+// A gate has no disk and knows only the few control VMs in its settings. If all VMs lose
+// power and these few are the last to come back, the gates would find no control VM and
+// keep their callers waiting without routes.
 func (s *Service) inviteGates(ctx context.Context, known []roster.Gate) {
-	// Control VMs that are back together begin with different gates.
+	// Control VMs that start at the same time begin with different gates.
 	order := func(g roster.Gate) uint64 { return xxhash.Sum64String(s.options.Address + "|" + g.VM) }
 	slices.SortFunc(known, func(a, b roster.Gate) int { return cmp.Compare(order(a), order(b)) })
-	ctx, cancel := context.WithTimeout(ctx, inviteTime)
+	ctx, cancel := context.WithTimeout(ctx, inviteDuration)
 	defer cancel()
 	ticker := time.NewTicker(inviteInterval)
 	defer ticker.Stop()
@@ -52,29 +52,30 @@
 		case <-wait.C:
 		case <-ticker.C:
 		}
-		known = s.unheard(known)
+		known = s.withoutReport(known)
 		if len(known) == 0 {
 			return
 		}
 		if called == 0 {
-			s.options.Log.Info("calling gates known before the start", zap.Int("gates", len(known)))
+			s.options.Log.Info("inviting gates that were known before the restart and have not reported", zap.Int("gates", len(known)))
 		}
-		called += s.callAll(ctx, known)
+		called += s.inviteAll(ctx, known)
 	}
 }
 
-// unheard gives those of the gates that no control VM has heard since the start.
-func (s *Service) unheard(gates []roster.Gate) []roster.Gate {
+// withoutReport returns the gates that no control VM is known to have received a report
+// from since the start. It reuses the slice.
+func (s *Service) withoutReport(gates []roster.Gate) []roster.Gate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.DeleteFunc(gates, func(g roster.Gate) bool { return s.table.IsAlive(g.VM) })
 }
 
-func (s *Service) callAll(ctx context.Context, gates []roster.Gate) (called int) {
+func (s *Service) inviteAll(ctx context.Context, gates []roster.Gate) (called int) {
 	slots := make(chan struct{}, maxInvites)
 	var calls sync.WaitGroup
 	for _, gate := range gates {
-		if len(s.unheard([]roster.Gate{gate})) == 0 {
+		if len(s.withoutReport([]roster.Gate{gate})) == 0 {
 			continue
 		}
 		called++
@@ -93,6 +94,6 @@
 	defer cancel()
 	_, err := rpc.Call(ctx, s.options.Calls, gate.Peers, controlapi.Invite, &controlapi.InviteRequest{Control: s.options.Address})
 	if err != nil {
-		s.options.Log.Debug("gate not called", zap.String("gate", gate.VM), zap.Error(err))
+		s.options.Log.Debug("cannot invite gate", zap.String("gate", gate.VM), zap.Error(err))
 	}
 }
--- a/internal/control/invite_test.go
+++ b/internal/control/invite_test.go
@@ -17,7 +17,7 @@
 	"slateway.example/slateway/internal/telemetry"
 )
 
-// calledGate stands for a gate and counts the calls of control VMs.
+// calledGate is a fake gate that counts the invitations of control VMs.
 type calledGate struct {
 	mu    sync.Mutex
 	calls int
@@ -42,7 +42,7 @@
 	return g.calls
 }
 
-func serviceIn(folder string) *Service {
+func newService(folder string) *Service {
 	return New(Options{
 		VM: "control-1", Address: "10.0.0.1:7660", Folder: folder, Log: zap.NewNop(), Metrics: telemetry.NewMetrics(),
 		Calls:  rpc.NewClient(&http.Client{}),
@@ -50,28 +50,29 @@
 	})
 }
 
-// Guards against gates that find no control VM after a stop of the whole site, and calls to those that have found one.
+// After a restart of the whole site, gates may find no control VM and must be invited.
+// Gates that have reported to a control VM must not be called.
 func TestAControlVMThatIsBackCallsTheGatesThatItKnew(t *testing.T) {
 	folder := t.TempDir()
 	var lost, found calledGate
-	before := serviceIn(folder)
+	before := newService(folder)
 	for vm, address := range map[string]string{"lost": lost.start(t), "found": found.start(t)} {
 		before.table.RecordReport(time.Now(), roster.Gate{VM: vm, Peers: address, Started: 1, Sequence: 1, Ready: true}, 0)
 	}
 	for until := time.Now().Add(5 * time.Second); time.Now().Before(until) && len(before.journal.load().Gates) < 2; {
-		before.keep() // does not wait for a slow disk for long
+		before.persist() // repeated, since it does not wait for a slow disk
 	}
 
-	after := serviceIn(folder)
+	after := newService(folder)
 	after.table.RecordReport(time.Now(), roster.Gate{VM: "found", Started: 2, Sequence: 1, Ready: true}, 0)
-	if _, known := after.snapshot(); len(known.Gates) != 2 {
-		t.Errorf("a second stop would leave %d gates known", len(known.Gates))
+	if _, content := after.snapshot(); len(content.Gates) != 2 {
+		t.Errorf("%d gates would be known after a second restart, want 2", len(content.Gates))
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	done := make(chan struct{})
 	go func() {
-		after.inviteGates(ctx, after.gatesBefore)
+		after.inviteGates(ctx, after.previousGates)
 		close(done)
 	}()
 	for lost.called() == 0 && ctx.Err() == nil {
@@ -82,6 +83,6 @@
 	after.mu.Unlock()
 	<-done
 	if lost.called() > 3 || found.called() > 0 {
-		t.Errorf("%d calls to the gate that was lost, %d to the other", lost.called(), found.called())
+		t.Errorf("%d calls to the lost gate, %d to the gate that had reported", lost.called(), found.called())
 	}
 }
--- a/internal/control/journal.go
+++ b/internal/control/journal.go
@@ -15,80 +15,79 @@
 	"slateway.example/slateway/internal/wal"
 )
 
-// journal keeps the replicas and gates that a control VM knows on its disk.
+// journal persists the replicas and gates that a control VM knows.
 //
-// When all processes of the system are stopped at once, the replicas run on; known
-// again only by their next heartbeats, they would serve nothing for seconds. What
-// is kept also says which of them leave: a replica that was told that it gets no
-// more requests must get none after a restart either, so a change is on the disk
+// When all processes of the system restart at once, the replicas keep running. If a
+// control VM learned of them only from their next heartbeats, they would get no requests
+// for seconds. The file also records which replicas leave: a replica that was promised no
+// more requests must get none after a restart either, so a change is written to disk
 // before it is acknowledged.
 type journal struct {
 	path string
 	log  *zap.Logger
 
-	mu      sync.Mutex    // guards what follows
+	mu      sync.Mutex    // guards the fields below
 	writing bool          // a write is in progress
-	next    chan struct{} // closes when the write after that one has ended; nil: none is wanted
+	next    chan struct{} // closed when the write after the current one ends; nil if none is requested
 	written uint64        // roster version on the disk; only the writer uses it
 }
 
-// journalFile is its name in the data folder.
+// journalFile is the name of the file in the data folder.
 const journalFile = "replicas"
 
-// journalWait bounds how long an acknowledgement waits for the disk: one that has
-// stalled must not keep replicas from leaving, and the other control VMs have
-// heard of the change.
+// journalWait bounds how long an acknowledgement waits for the disk. A stalled disk must
+// not keep replicas from leaving, and the other control VMs are notified of the change
+// as well.
 const journalWait = 300 * time.Millisecond
 
 func newJournal(folder string, log *zap.Logger) *journal {
 	return &journal{path: filepath.Join(folder, journalFile), log: log}
 }
 
-// kept is the content of the file.
-type kept struct {
+// journalContent is the content of the file.
+type journalContent struct {
 	Replicas []roster.ReplicaReport `cbor:"1,keyasint"`
 	Gates    []roster.Gate          `cbor:"2,keyasint,omitempty"`
 }
 
-// load gives what was known; nothing if there is no file, or it is damaged:
-// heartbeats bring it back.
-func (j *journal) load() kept {
+// load reads the file. It returns empty content if the file does not exist or is damaged;
+// the heartbeats of the replicas then restore the state.
+func (j *journal) load() journalContent {
 	data, err := os.ReadFile(j.path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return kept{}
+		return journalContent{}
 	}
-	var found kept
+	var content journalContent
 	if err == nil {
-		err = codec.Unmarshal(data, &found)
+		err = codec.Unmarshal(data, &content)
 	}
 	if err != nil {
-		j.log.Warn("known replicas not read, their heartbeats bring them back", zap.Error(err))
-		return kept{}
+		j.log.Warn("cannot read the file of known replicas, they return with their next heartbeats", zap.Error(err))
+		return journalContent{}
 	}
-	return found
+	return content
 }
 
-// snapshot gives what is known now, and the roster version of it.
-type snapshot func() (version uint64, known kept)
+// snapshot returns the current state and its roster version.
+type snapshot func() (version uint64, content journalContent)
 
-// save makes what is known now last. It returns when it does, or after
-// journalWait. Calls that come while a write is in progress share the next one:
-// when all replicas announce themselves at once, a write for each would write the
-// whole list as many times.
-func (j *journal) save(known snapshot) {
-	done := j.request(known)
+// save writes the current state to disk and returns when it is written, or after
+// journalWait. Calls during a write share the next one: when all replicas announce
+// themselves at once, a separate write for each would write the full list as many times.
+func (j *journal) save(current snapshot) {
+	done := j.request(current)
 	timer := time.NewTimer(journalWait)
 	defer timer.Stop()
 	select {
 	case <-done:
 	case <-timer.C:
-		j.log.Warn("the disk is slow, a change of replicas is acknowledged before it lasts")
+		j.log.Warn("the disk is slow: acknowledging a change of replicas before it is written")
 	}
 }
 
-// request gives a channel that closes when a write has ended that began after
-// this call.
-func (j *journal) request(known snapshot) <-chan struct{} {
+// request requests a write that begins after this call. It returns a channel that closes
+// when the write ends.
+func (j *journal) request(current snapshot) <-chan struct{} {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.next == nil {
@@ -96,13 +95,13 @@
 	}
 	if !j.writing {
 		j.writing = true
-		go j.writeAll(known)
+		go j.writeAll(current)
 	}
 	return j.next
 }
 
-// writeAll writes until nobody waits for a write that has not begun.
-func (j *journal) writeAll(known snapshot) {
+// writeAll writes until no further write is requested.
+func (j *journal) writeAll(current snapshot) {
 	for {
 		j.mu.Lock()
 		done := j.next
@@ -112,18 +111,18 @@
 		if done == nil {
 			return
 		}
-		j.write(known)
+		j.write(current)
 		close(done)
 	}
 }
 
-func (j *journal) write(known snapshot) {
-	version, content := known()
+func (j *journal) write(current snapshot) {
+	version, content := current()
 	if version <= j.written {
 		return
 	}
 	if err := wal.ReplaceFile(j.path, codec.MustMarshal(content)); err != nil {
-		j.log.Warn("known replicas not kept", zap.Uint64("version", version), zap.Error(err))
+		j.log.Warn("cannot write the file of known replicas", zap.Uint64("version", version), zap.Error(err))
 		return
 	}
 	j.written = version
--- a/internal/control/journal_test.go
+++ b/internal/control/journal_test.go
@@ -11,24 +11,24 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// Guards against a write of the whole list for each replica, when all of them announce themselves at once.
+// When all replicas announce themselves at once, changes must share writes of the list.
 func TestChangesThatWaitForTheDiskShareAWrite(t *testing.T) {
 	const changes = 300
 	folder := t.TempDir()
 	j := newJournal(folder, zap.NewNop())
 	var version, reads atomic.Uint64
-	known := func() (uint64, kept) {
+	current := func() (uint64, journalContent) {
 		reads.Add(1)
 		at := version.Load()
-		return at, kept{Replicas: []roster.ReplicaReport{{Replica: upstream.Announcement{Replica: "r", Sequence: at}}}}
+		return at, journalContent{Replicas: []roster.ReplicaReport{{Replica: upstream.Announcement{Replica: "r", Sequence: at}}}}
 	}
 	var saving sync.WaitGroup
 	for range changes {
 		saving.Go(func() {
 			mine := version.Add(1)
-			j.save(known)
+			j.save(current)
 			if found := newJournal(folder, zap.NewNop()).load().Replicas; len(found) != 1 || found[0].Replica.Sequence < mine {
-				t.Errorf("change %d is acknowledged and not on the disk", mine)
+				t.Errorf("change %d is acknowledged but not on disk", mine)
 			}
 		})
 	}
--- a/internal/control/packed.go
+++ b/internal/control/packed.go
@@ -8,14 +8,15 @@
 	"slateway.example/slateway/internal/routes"
 )
 
-// packedRoutes keeps the newest document as gates are sent it.
+// packedRoutes caches the packed form of the newest route document, so that it is packed
+// once for all gates.
 type packedRoutes struct {
 	mu      sync.Mutex
 	version uint64
 	data    routes.Packed
 }
 
-func (p *packedRoutes) of(document *routes.Document) (routes.Packed, error) {
+func (p *packedRoutes) get(document *routes.Document) (routes.Packed, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.version == document.Version && p.data != nil {
@@ -29,49 +30,50 @@
 	return data, nil
 }
 
-// packedChanges keeps the changes of the roster up to its newest version as gates
-// are sent them, by the version from which they are asked for. After a stop of all
-// processes hundreds of gates ask for everything at the same time.
+// packedChanges caches the roster changes up to the newest version, keyed by the version
+// after which they start. After a restart of all processes, hundreds of gates request
+// the full roster at the same time.
 type packedChanges struct {
 	mu      sync.Mutex
 	version uint64
 	since   map[uint64]changesSince
 }
 
-// changesSince are changes of the roster; packed if they are large.
+// changesSince holds the roster changes after a version, also in compressed form if they
+// are large.
 type changesSince struct {
 	changes roster.Changes
 	packed  []byte
 }
 
-// minPackedBytes is the least size of encoded changes that are packed.
+// minPackedBytes is the encoded size from which changes are compressed.
 const minPackedBytes = 4096
 
-// of gives the changes, which are made of the roster only if they are not kept. The
-// roster must not change meanwhile.
-func (p *packedChanges) of(table *roster.Table, since uint64) (changesSince, error) {
+// get returns the changes after version since, from the cache if possible. The roster
+// must not change during the call.
+func (p *packedChanges) get(table *roster.Table, since uint64) (changesSince, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.since == nil || p.version != table.Version() {
 		p.version, p.since = table.Version(), make(map[uint64]changesSince)
 	}
-	if found, kept := p.since[since]; kept {
-		return found, nil
+	if cached, ok := p.since[since]; ok {
+		return cached, nil
 	}
-	made, err := newChangesSince(table.Since(since))
+	result, err := packChanges(table.Since(since))
 	if err != nil {
 		return changesSince{}, err
 	}
-	p.since[since] = made
-	return made, nil
+	p.since[since] = result
+	return result, nil
 }
 
-func newChangesSince(changes roster.Changes) (changesSince, error) {
-	made := changesSince{changes: changes}
+func packChanges(changes roster.Changes) (changesSince, error) {
+	result := changesSince{changes: changes}
 	data, err := codec.Marshal(changes)
 	if err != nil || len(data) < minPackedBytes {
-		return made, err
+		return result, err
 	}
-	made.packed, err = codec.Compress(data)
-	return made, err
+	result.packed, err = codec.Compress(data)
+	return result, err
 }
--- a/internal/control/retire.go
+++ b/internal/control/retire.go
@@ -11,33 +11,33 @@
 	"slateway.example/slateway/internal/keeper/keeperapi"
 )
 
-// Reasons of refused orders to empty a VM.
+// Reasons for refused retirements.
 const (
 	ReasonUnknownVM apierr.Reason = "unknown_vm"
 	ReasonTooFewVMs apierr.Reason = "too_few_vms"
 	ReasonRetireOff apierr.Reason = "retirement_unknown"
 )
 
-// Retire orders that a VM which holds jobs is emptied: its part of the replicated
-// state moves to others. It returns once the order lasts.
+// Retire starts the retirement of a VM that holds jobs: its part of the replicated state
+// moves to other VMs. It returns once the retirement is committed.
 func (s *Service) Retire(ctx context.Context, vm string) error {
 	if slices.Contains(s.options.Config.Retired(), vm) {
 		return nil
 	}
 	if refusal := s.checkRetire(vm); refusal != nil {
 		s.options.Metrics.Refused(refusal.Reason)
-		s.options.Log.Info("VM not retired", zap.String("retired", vm), zap.String("reason", string(refusal.Reason)))
+		s.options.Log.Info("retirement of VM refused", zap.String("retired", vm), zap.String("reason", string(refusal.Reason)))
 		return refusal
 	}
 	if err := s.options.Keepers.RetireVM(ctx, vm); err != nil {
 		return err
 	}
-	s.options.Log.Info("VM retires", zap.String("retired", vm))
+	s.options.Log.Info("retirement of VM started", zap.String("retired", vm))
 	return nil
 }
 
-// checkRetire refuses a VM that holds no jobs, and one without which too few
-// would be left to bear the loss that the site is to bear.
+// checkRetire refuses a VM that holds no jobs, and a VM without which too few would be
+// left to tolerate the configured number of failures.
 func (s *Service) checkRetire(vm string) *apierr.Error {
 	retired := s.options.Config.Retired()
 	found, left := false, 0
@@ -50,31 +50,31 @@
 		}
 	}
 	if !found {
-		return apierr.New(apierr.NotFound, ReasonUnknownVM, "name a VM that holds jobs", "no VM %q that holds jobs is known", vm)
+		return apierr.New(apierr.NotFound, ReasonUnknownVM, "name a VM that holds jobs", "no known VM %q holds jobs", vm)
 	}
 	if left < 2*s.options.Tolerance+1 {
-		return apierr.New(apierr.Conflict, ReasonTooFewVMs, "add a VM first", "only %d VMs would be left to hold the state", left)
+		return apierr.New(apierr.Conflict, ReasonTooFewVMs, "add a VM first", "only %d VMs would remain to hold the replicated state", left)
 	}
 	return nil
 }
 
-// Retired says whether a VM that was to be emptied holds nothing any more.
+// RetirementDone reports whether a VM that is being retired holds no state any more.
 func (s *Service) Retired(ctx context.Context, vm string) (done bool, err error) {
 	if !slices.Contains(s.options.Config.Retired(), vm) {
-		// The order may have been given at another VM, and not have come here.
-		return false, apierr.New(apierr.Unavailable, ReasonRetireOff, "ask again, or order it first",
-			"this VM knows of no order to empty VM %q", vm).WithRetryAfter(noContactRetry)
+		// The retirement may have been started at another VM and not yet be applied here.
+		return false, apierr.New(apierr.Unavailable, ReasonRetireOff, "retry, or start the retirement first",
+			"this VM knows of no retirement of VM %q", vm).WithRetryAfter(noContactRetry)
 	}
 	left, err := s.options.Group.Retire(ctx, []string{vm})
 	return err == nil && !slices.Contains(left, vm), err
 }
 
-// retireInterval is how often the leaders are told which VMs retire. A leader
-// that has just been elected does not know it yet.
+// retireInterval is how often the retiring VMs are sent to the leaders. They are sent
+// repeatedly because a newly elected leader does not know them.
 const retireInterval = 500 * time.Millisecond
 
-// runRetire tells the leaders of all groups, from the VM that leads the
-// configuration, which VMs retire.
+// runRetire sends the list of retiring VMs to the leaders of all groups. Only the leader
+// of the configuration group sends it.
 func (s *Service) runRetire(ctx context.Context) {
 	ticker := time.NewTicker(retireInterval)
 	defer ticker.Stop()
@@ -91,7 +91,7 @@
 		}
 		limited, cancel := context.WithTimeout(ctx, retireInterval)
 		if left, err := s.options.Group.Retire(limited, retired); err != nil || len(left) > 0 {
-			s.options.Log.Info("VMs still hold state", zap.Strings("retiring", left), zap.Error(err))
+			s.options.Log.Info("retiring VMs still hold state", zap.Strings("retiring", left), zap.Error(err))
 		}
 		cancel()
 	}
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -1,7 +1,7 @@
-// Package control is the role of a VM that replicas, operators and callers who
-// look for a gate talk to. It keeps the roster of replicas and gates in step
-// with the other control VMs, hands changes to the gates that follow it, and
-// passes the operators' changes to the replicated configuration.
+// Package control implements the control role of a VM. It serves replicas, operators and
+// callers that look for a gate. It synchronizes the roster of replicas and gates with the
+// other control VMs, sends roster changes to the gates that follow it, and forwards the
+// operators' changes to the replicated configuration.
 package control
 
 import (
@@ -31,22 +31,22 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// Group is what the service needs of the replicated groups on its VM.
+// Group gives the service access to the replicated groups on its VM.
 type Group interface {
 	Leader(group uint32) (replica.Member, bool)
 	Lag(group uint32) time.Duration
-	// Members are those of all groups; Candidates are the blank members that wait
-	// to be taken in, Known both.
+	// Members returns the members of all groups, Candidates the blank members that wait
+	// to join a group, and Known both.
 	Members() []quorum.Member
 	Candidates() []quorum.Member
 	Known() []quorum.Member
 	NoteCandidates(members []quorum.Member)
-	// Locate brings what is known of groups forward of which this VM is no member.
+	// Locate updates what is known of the groups that this VM is not a member of.
 	Locate(ctx context.Context)
 	Retire(ctx context.Context, vms []string) (left []string, err error)
 }
 
-// ClassControl is the class of the members on control VMs; others hold jobs only.
+// ClassControl is the class of the members on control VMs. Other members hold jobs only.
 const ClassControl = "control"
 
 // Config is the replicated configuration as this VM has applied it.
@@ -56,17 +56,17 @@
 	Retired() []string
 }
 
-// Options are what a Service needs. All must be set.
+// Options configures a Service. All fields must be set.
 type Options struct {
 	VM      string
 	Place   string
 	Region  string
 	Address string   // peers address of this VM
-	Control string   // address of this VM for replicas and operators
+	Control string   // address at which this VM serves replicas and operators
 	Folder  string   // data folder of this VM
 	Seeds   []string // peers addresses of some control VMs
 	Group   Group
-	// Tolerance is how many VMs that hold state may be lost at once.
+	// Tolerance is the number of state-holding VMs that may be lost at once.
 	Tolerance int
 	Config    Config
 	Keepers   *keeperclient.Client
@@ -75,44 +75,44 @@
 	Metrics   *telemetry.Metrics
 
 	Roster         roster.Config
-	AnswerLifetime time.Duration // of the answers that name gates
-	MaxEntries     int           // gates in one answer
+	AnswerLifetime time.Duration // how long a caller may cache the list of gates
+	MaxEntries     int           // gates in one answer to a caller
 }
 
-// Service is one control VM. Run must run beside it.
+// Service implements one control VM. Run must be running while it is used.
 type Service struct {
 	options       Options
 	epoch         string
 	started       time.Time
 	journal       *journal
-	spreader      *spreader
+	broadcaster   *broadcaster
 	packed        packedRoutes
 	packedChanges packedChanges
 	peers         peerCache
 	contact       contactWatch
-	// followers is how many questions of gates are held now.
+	// followers is the number of open long polls of gates.
 	followers atomic.Int64
-	locating  atomic.Bool // a search for leaders is under way
+	locating  atomic.Bool // a search for leaders is in progress
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	table     *roster.Table
 	directory *directory.Directory
-	changed   chan struct{} // closes at the next change of the roster
-	// heardReplicas were heard here since the last share, and when they were last
-	// shared; heardGates are the gates.
-	heardReplicas map[upstream.ReplicaID]struct{}
-	sharedAt      map[upstream.ReplicaID]time.Time
-	heardGates    map[string]struct{}
-	held          map[string]int       // questions of a gate that wait for their answer here
-	asked         map[string]time.Time // when a gate last asked here
-	contacts      map[string]time.Time // control VMs that shared something, and when
-	inContact     bool                 // as last logged
-	seeds         []string
-
-	gatesBefore []roster.Gate // known before the start
+	changed   chan struct{} // closed at the next roster change
+	// unsharedReplicas and unsharedGates have reported here since the last share.
+	// sharedAt is when a replica's report was last shared.
+	unsharedReplicas map[upstream.ReplicaID]struct{}
+	sharedAt         map[upstream.ReplicaID]time.Time
+	unsharedGates    map[string]struct{}
+	longPolls        map[string]int       // open long polls by gate
+	lastFollow       map[string]time.Time // when a gate last polled this VM
+	contacts         map[string]time.Time // when a control VM last shared reports
+	inContact        bool                 // as last logged
+	seeds            []string
+
+	previousGates []roster.Gate // gates known before the restart
 }
 
-// New makes a service.
+// New creates a Service from the state on disk.
 func New(options Options) *Service {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	s := &Service{
@@ -124,47 +124,46 @@
 		changed:   make(chan struct{}),
 		contacts:  make(map[string]time.Time),
 
-		heardReplicas: make(map[upstream.ReplicaID]struct{}),
-		sharedAt:      make(map[upstream.ReplicaID]time.Time),
-		heardGates:    make(map[string]struct{}),
-		held:          make(map[string]int),
-		asked:         make(map[string]time.Time),
+		unsharedReplicas: make(map[upstream.ReplicaID]struct{}),
+		sharedAt:         make(map[upstream.ReplicaID]time.Time),
+		unsharedGates:    make(map[string]struct{}),
+		longPolls:        make(map[string]int),
+		lastFollow:       make(map[string]time.Time),
 
-		seeds:    options.Seeds,
-		journal:  newJournal(options.Folder, options.Log),
-		spreader: newSpreader(options.Address, options.Calls, options.Log),
+		seeds:       options.Seeds,
+		journal:     newJournal(options.Folder, options.Log),
+		broadcaster: newBroadcaster(options.Address, options.Calls, options.Log),
 	}
-	found := s.journal.load()
-	s.merge(found.Replicas, nil)
-	s.gatesBefore = found.Gates
+	content := s.journal.load()
+	s.merge(content.Replicas, nil)
+	s.previousGates = content.Gates
 	return s
 }
 
-// SetSeeds replaces the control VMs that the settings name.
+// SetSeeds replaces the peers addresses of control VMs that come from the settings.
 func (s *Service) SetSeeds(seeds []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.seeds = seeds
 }
 
-// Mount adds the calls of gates and other control VMs to mux.
+// Mount registers the procedures for gates and other control VMs with mux.
 func (s *Service) Mount(mux *http.ServeMux) {
 	rpc.HandlePacked(mux, controlapi.Follow, controlapi.MaxMessageBytes, s.follow)
 	rpc.Handle(mux, controlapi.Share, controlapi.MaxMessageBytes, s.share)
 }
 
-// maxLag is how long this VM may lack a committed change and still speak for the
-// configuration: a small part of the time in which a change is to be in force.
+// maxLag is how long this VM may lack a committed change and still serve requests. It is
+// a small part of the time within which a change must be in force.
 const maxLag = 500 * time.Millisecond
 
-// InContact says whether this VM follows, or is, the leader of the configuration, and
-// has what that has committed.
+// InContact reports whether this VM is, or follows, the leader of the configuration group
+// and has received what the leader has committed.
 //
-// One that is cut off from the others would go on telling gates that nothing
-// has changed, and acknowledge replicas of which no gate hears. It learns that it
-// is cut off when the leader's heartbeats cease, within two election timeouts. One
-// that heartbeats reach and entries do not would do the same for as long as these
-// are held up; it learns by the heartbeats that it lacks them.
+// A VM that is cut off from the others would report to its gates that nothing has changed
+// and acknowledge announcements of replicas that no gate learns of. It detects this
+// within two election timeouts, when the leader's heartbeats stop. A VM that receives
+// heartbeats but no entries would do the same; it detects its lag from the heartbeats.
 func (s *Service) InContact() bool {
 	_, known := s.options.Group.Leader(keeperapi.ConfigGroup)
 	lag := s.options.Group.Lag(keeperapi.ConfigGroup)
@@ -180,7 +179,7 @@
 	return inContact
 }
 
-// noContactRetry is when to ask again: an election takes about as long.
+// noContactRetry is the retry delay for refused callers, about the duration of an election.
 const noContactRetry = 200 * time.Millisecond
 
 func (s *Service) requireContact() error {
@@ -192,18 +191,19 @@
 		"this VM is not in contact with the leader of the configuration").WithRetryAfter(noContactRetry)
 }
 
-// notify wakes the gates that wait. The mutex is held.
+// notify wakes the waiting long polls. The caller holds the mutex.
 func (s *Service) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// pushTimeout bounds how long an acknowledgement waits until the other control
-// VMs have heard of a change. One that has not is told again each second.
+// pushTimeout bounds how long an acknowledgement waits until the other control VMs have
+// received a change. A control VM that missed it is notified again about once a second.
 const pushTimeout = 250 * time.Millisecond
 
-// Announce takes in what a replica says of itself. It returns once the change is
-// on its way to all gates: a replica that leaves counts on it that they stop.
+// Announce records a replica's announcement. It returns once a change has been sent to
+// the other control VMs and the waiting gates: a replica that leaves relies on the gates
+// to stop using it.
 func (s *Service) Announce(ctx context.Context, a upstream.Announcement) error {
 	if err := a.Validate(); err != nil {
 		return err
@@ -212,107 +212,107 @@
 		return err
 	}
 	s.mu.Lock()
-	verdict := s.table.Announce(time.Now(), a, 0)
-	if verdict != roster.Stale {
-		s.heardReplicas[a.Replica] = struct{}{}
+	result := s.table.Announce(time.Now(), a, 0)
+	if result != roster.Stale {
+		s.unsharedReplicas[a.Replica] = struct{}{}
 	}
-	if verdict == roster.Changed {
-		delete(s.sharedAt, a.Replica) // the push below may not reach all
+	if result == roster.Changed {
+		delete(s.sharedAt, a.Replica) // share it again, since the push below may not reach all
 		s.notify()
 	}
 	s.mu.Unlock()
-	switch verdict {
+	switch result {
 	case roster.Stale:
 		s.options.Metrics.Count(string(upstream.ReasonStaleAnnouncement))
-		s.logReplica("late announcement ignored", &a)
+		s.logReplica("stale announcement ignored", &a)
 	case roster.Changed:
 		s.logReplica("replica changed", &a)
-		s.keep()
+		s.persist()
 		s.push(ctx, &controlapi.ShareRequest{Replicas: []roster.ReplicaReport{{Replica: a}}})
 	}
 	return nil
 }
 
-// keep makes what is known of replicas last on this VM's disk.
-func (s *Service) keep() { s.journal.save(s.snapshot) }
+// persist writes the known replicas and gates to this VM's disk.
+func (s *Service) persist() { s.journal.save(s.snapshot) }
 
-func (s *Service) snapshot() (version uint64, known kept) {
+func (s *Service) snapshot() (version uint64, content journalContent) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Version(), kept{Replicas: s.table.AllReplicaReports(time.Now()), Gates: s.gatesToKeep()}
+	return s.table.Version(), journalContent{Replicas: s.table.AllReplicaReports(time.Now()), Gates: s.gatesToPersist()}
 }
 
-// gatesToKeep gives the gates that live; right after the start also those that may
-// not be back yet, so that a second stop finds them. The mutex is held.
-func (s *Service) gatesToKeep() []roster.Gate {
+// gatesToPersist returns the live gates. Shortly after a restart, while fewer gates are
+// live than before it, it returns the previous gates, so that a second restart does not
+// lose those that have yet to report. The caller holds the mutex.
+func (s *Service) gatesToPersist() []roster.Gate {
 	if s.expectedGates() > s.table.CountGates() {
-		return s.gatesBefore
+		return s.previousGates
 	}
 	return s.table.Gates()
 }
 
-// expectedGates gives how many gates there are: those that live or, right after the
-// start, those that were known before it if they were more. The mutex is held.
+// expectedGates returns the number of live gates or, shortly after a restart, the number
+// known before it if that is greater. The caller holds the mutex.
 func (s *Service) expectedGates() int {
 	live := s.table.CountGates()
-	if time.Since(s.started) < inviteTime {
-		return max(live, len(s.gatesBefore))
+	if time.Since(s.started) < inviteDuration {
+		return max(live, len(s.previousGates))
 	}
 	return live
 }
 
-// gatesNotBack gives the gates that were known before the start and are not back.
-// The mutex is held.
-func (s *Service) gatesNotBack(expected int) []roster.Gate {
+// missingGates returns the gates that were known before the restart and have not reported
+// since. The caller holds the mutex.
+func (s *Service) missingGates(expected int) []roster.Gate {
 	if expected <= s.table.CountGates() {
 		return nil
 	}
-	back := make(map[string]bool)
+	live := make(map[string]bool)
 	for _, g := range s.table.Gates() {
-		back[g.VM] = true
+		live[g.VM] = true
 	}
-	return slices.DeleteFunc(slices.Clone(s.gatesBefore), func(g roster.Gate) bool { return back[g.VM] })
+	return slices.DeleteFunc(slices.Clone(s.previousGates), func(g roster.Gate) bool { return live[g.VM] })
 }
 
-func (s *Service) logReplica(what string, a *upstream.Announcement) {
-	s.options.Log.Info(what, telemetry.Upstream(string(a.Replica)), zap.String("service", a.Service),
+func (s *Service) logReplica(message string, a *upstream.Announcement) {
+	s.options.Log.Info(message, telemetry.Upstream(string(a.Replica)), zap.String("service", a.Service),
 		zap.String("address", a.Address), zap.Uint64("incarnation", a.Incarnation), zap.Uint64("sequence", a.Sequence),
 		zap.Bool("ready", a.Ready), zap.Bool("leaving", a.Leaving))
 }
 
-// Leave takes in that a replica goes away, by its ID alone; an incarnation of 0
-// stands for the one known.
+// Leave records that a replica leaves. Incarnation 0 means the current one.
 func (s *Service) Leave(ctx context.Context, id upstream.ReplicaID, incarnation uint64) error {
 	if err := s.requireContact(); err != nil {
 		return err
 	}
 	s.mu.Lock()
-	a, news := s.table.Leave(id, incarnation)
-	if news {
+	a, changed := s.table.Leave(id, incarnation)
+	if changed {
 		s.notify()
 	}
 	s.mu.Unlock()
-	s.keep()
-	s.options.Log.Info("replica leaves", telemetry.Upstream(string(id)), zap.Uint64("incarnation", incarnation), zap.Bool("news", news))
-	request := &controlapi.ShareRequest{Left: []controlapi.Left{{Replica: id, Incarnation: incarnation}}}
-	if news {
-		request.Left[0].Incarnation = a.Incarnation
+	s.persist()
+	s.options.Log.Info("replica leaves", telemetry.Upstream(string(id)), zap.Uint64("incarnation", incarnation), zap.Bool("news", changed))
+	request := &controlapi.ShareRequest{Departures: []controlapi.Departure{{Replica: id, Incarnation: incarnation}}}
+	if changed {
+		request.Departures[0].Incarnation = a.Incarnation
 	}
 	s.push(ctx, request)
 	return nil
 }
 
-// ReplaceRoutes puts a document of routes in force, if its version is the
-// highest; it returns once a majority holds it on disk.
+// ReplaceRoutes puts a route document in force if its version is the highest. It returns
+// once a majority has the document on disk.
 func (s *Service) ReplaceRoutes(ctx context.Context, document *routes.Document) (*routes.Outcome, error) {
 	if refusal := document.Check(); refusal != nil {
-		s.refused("routes refused", refusal, document.Version)
+		s.recordRefusal("routes refused", refusal, document.Version)
 		return nil, refusal
 	}
 	began := time.Now()
 	outcome, err := s.options.Keepers.ReplaceRoutes(ctx, document)
 	if err != nil {
-		s.refused("routes not replaced", apierr.From(err), document.Version)
+		s.recordRefusal("routes not replaced", apierr.From(err), document.Version)
 		return nil, err
 	}
 	s.options.Log.Info("routes replaced", zap.Uint64("version", document.Version), zap.Uint64("in_force", outcome.Held),
@@ -320,22 +320,22 @@
 	return outcome, nil
 }
 
-func (s *Service) refused(what string, refusal *apierr.Error, version uint64) {
+func (s *Service) recordRefusal(message string, refusal *apierr.Error, version uint64) {
 	s.options.Metrics.Refused(refusal.Reason)
-	s.options.Log.Info(what, zap.Uint64("version", version), telemetry.Reason(string(refusal.Reason)), zap.String("message", refusal.Message))
+	s.options.Log.Info(message, zap.Uint64("version", version), telemetry.Reason(string(refusal.Reason)), zap.String("message", refusal.Message))
 }
 
-// ReadRoutes reads the routes in force, as new as any that was acknowledged
-// before the call.
+// ReadRoutes reads the routes in force. They are at least as new as any that were
+// acknowledged before the call.
 func (s *Service) ReadRoutes(ctx context.Context) (*routes.Document, error) {
 	document, err := s.options.Keepers.ReadRoutes(ctx)
 	if err != nil {
-		s.refused("routes not read", apierr.From(err), 0)
+		s.recordRefusal("cannot read routes", apierr.From(err), 0)
 	}
 	return document, err
 }
 
-// Entries tells a caller in a place which gates to use.
+// Entries returns the gates that a caller in a place should use.
 func (s *Service) Entries(place string) (directory.Answer, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -351,16 +351,16 @@
 	return answer, err
 }
 
-// Reasons of calls that the adapter answers by itself.
+// Reasons for refusals by the HTTP adapter.
 const (
 	ReasonNoRoutes apierr.Reason = "no_routes"
 )
 
-// BadAnnouncement counts and logs an announcement that cannot be read.
+// RecordBadAnnouncement counts and logs an announcement that cannot be decoded.
 func (s *Service) BadAnnouncement(id string, err error) {
 	s.options.Metrics.Refused(apierr.ReasonOf(err))
 	s.options.Log.Info("announcement refused", telemetry.Upstream(id), telemetry.Reason(string(apierr.ReasonOf(err))), zap.Error(err))
 }
 
-// BadRoutes counts and logs a document of routes that cannot be read.
-func (s *Service) BadRoutes(err error) { s.refused("routes refused", apierr.From(err), 0) }
+// RecordBadRoutes counts and logs a route document that cannot be decoded.
+func (s *Service) BadRoutes(err error) { s.recordRefusal("routes refused", apierr.From(err), 0) }
--- a/internal/control/share.go
+++ b/internal/control/share.go
@@ -17,28 +17,28 @@
 )
 
 const (
-	// tickInterval is how often the silent are looked for: a small part of the
-	// silence after which a gate is no longer named to callers.
+	// tickInterval is how often expired replicas and gates are looked for. It is a small
+	// part of the lifetime of a gate's report.
 	tickInterval = 100 * time.Millisecond
-	// ticksPerShare is how many ticks lie between two shares of what was heard. Gates
+	// ticksPerShare is the number of ticks between two shares of received reports. Gates
 	// renew their reports twice a second, replicas about once.
 	ticksPerShare = 5
-	// wholeEvery is how many shares lie between two that ask one other VM, each in
-	// turn, for everything, so that what was lost on its way, or while a VM was cut
-	// off, is made good. Asked of all at once it was most of the bytes that nine
-	// control VMs exchanged.
-	wholeEvery = 4
-	// shareTimeout bounds one call; a silent connection is noticed by it.
+	// sharesPerFullSync is the number of shares between two requests for the full state
+	// of another control VM, each in turn. A full sync repairs what was lost in transit
+	// or while a VM was cut off. Requested from all VMs at once, it was most of the
+	// traffic between nine control VMs.
+	sharesPerFullSync = 4
+	// shareTimeout bounds one call, so that an unresponsive connection is detected.
 	shareTimeout = 700 * time.Millisecond
-	// contactLifetime is how long a control VM that is no member counts as one
-	// after it was heard.
+	// contactLifetime is how long a control VM that is not a member of the groups is
+	// sent reports after its last share.
 	contactLifetime = 10 * time.Second
 )
 
-// Run shares and forgets until ctx ends.
+// Run exchanges reports with the other control VMs and expires old ones until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	go s.runRetire(ctx)
-	go s.inviteGates(ctx, slices.Clone(s.gatesBefore))
+	go s.inviteGates(ctx, slices.Clone(s.previousGates))
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for count := 0; ; count++ {
@@ -54,53 +54,54 @@
 	}
 }
 
-// exchange tells the other control VMs what was heard and asks them in turn.
+// exchange shares new reports with the other control VMs and periodically requests the
+// full state of one of them.
 func (s *Service) exchange(ctx context.Context, round int) {
-	s.shareHeard(ctx)
+	s.shareReports(ctx)
 	s.locate(ctx)
-	s.journal.request(s.snapshot) // gates that came or went; replicas are on the disk already
-	if round%wholeEvery == 0 {
-		s.askWhole(ctx, round/wholeEvery)
+	s.journal.request(s.snapshot) // writes changes of the gates; those of replicas are on disk already
+	if round%sharesPerFullSync == 0 {
+		s.requestFullSync(ctx, round/sharesPerFullSync)
 		s.shareCandidates(ctx)
 	}
 }
 
 func (s *Service) tick() {
-	s.InContact() // logs its changes also while nobody asks
+	s.InContact() // logs a change of contact even if there are no requests
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.table.Version()
 	now := time.Now()
 	s.table.Tick(now)
-	maps.DeleteFunc(s.asked, func(_ string, at time.Time) bool { return now.Sub(at) > time.Minute })
+	maps.DeleteFunc(s.lastFollow, func(_ string, at time.Time) bool { return now.Sub(at) > time.Minute })
 	if s.table.Version() != before {
 		s.notify()
 	}
 }
 
-// shareHeard tells the other control VMs what replicas and gates have told this
-// one since the last time.
-func (s *Service) shareHeard(ctx context.Context) {
-	request := s.takeHeard()
+// shareReports sends the other control VMs the reports that replicas and gates have sent
+// to this one since the last call.
+func (s *Service) shareReports(ctx context.Context) {
+	request := s.takeReports()
 	if len(request.Replicas)+len(request.Gates) == 0 {
 		return
 	}
-	s.spread(ctx, request)
+	s.broadcast(ctx, request)
 }
 
-// shareCandidates tells the other control VMs, from the one that leads the
-// configuration, which VMs wait to hold state: any of them may be asked to retire
-// one.
+// shareCandidates sends the other control VMs the list of VMs that wait to hold state, if
+// this VM leads the configuration group. Operators may ask any control VM to retire one
+// of them.
 func (s *Service) shareCandidates(ctx context.Context) {
 	leader, known := s.options.Group.Leader(keeperapi.ConfigGroup)
 	candidates := s.options.Group.Candidates()
 	if !known || leader.Address != s.options.Address || len(candidates) == 0 {
 		return
 	}
-	s.spread(ctx, &controlapi.ShareRequest{Candidates: candidates})
+	s.broadcast(ctx, &controlapi.ShareRequest{Candidates: candidates})
 }
 
-// locate looks for leaders beside the rounds, one search at a time.
+// locate searches for leaders in the background, one search at a time.
 func (s *Service) locate(ctx context.Context) {
 	if !s.locating.CompareAndSwap(false, true) {
 		return
@@ -111,44 +112,44 @@
 	}()
 }
 
-// askWhole asks one of the other control VMs for everything; the first time, all
-// of them, since a VM that has just started knows nothing.
-func (s *Service) askWhole(ctx context.Context, turn int) {
+// requestFullSync requests the full state of one of the other control VMs. The first
+// time it requests that of all of them, since a VM that has just started knows nothing.
+func (s *Service) requestFullSync(ctx context.Context, turn int) {
 	others := slices.DeleteFunc(s.controls(), func(address string) bool { return address == s.options.Address })
 	if turn > 0 && len(others) > 0 {
 		others = others[turn%len(others):][:1]
 	}
 	go func() {
-		for _, answer := range s.sendTo(ctx, others, &controlapi.ShareRequest{Whole: true}, shareTimeout) {
+		for _, answer := range s.sendTo(ctx, others, &controlapi.ShareRequest{Full: true}, shareTimeout) {
 			s.merge(answer.Replicas, answer.Gates)
 		}
 	}()
 }
 
-func (s *Service) takeHeard() *controlapi.ShareRequest {
+func (s *Service) takeReports() *controlapi.ShareRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	request := &controlapi.ShareRequest{
 		Replicas: s.table.ReplicaReports(now, s.renewalsDue(now)),
-		Gates:    s.table.GateReports(now, slices.Collect(maps.Keys(s.heardGates))),
+		Gates:    s.table.GateReports(now, slices.Collect(maps.Keys(s.unsharedGates))),
 	}
-	clear(s.heardReplicas)
-	clear(s.heardGates)
+	clear(s.unsharedReplicas)
+	clear(s.unsharedGates)
 	return request
 }
 
-// renewalsPerLifetime is how often the other control VMs are told, within the
-// lifetime of a replica, that it was heard. Its changes they are told at once.
+// renewalsPerLifetime is how often per replica lifetime a replica's heartbeat is shared
+// with the other control VMs. Changes of a replica are shared at once.
 const renewalsPerLifetime = 5
 
-// renewalsDue gives the replicas heard since the last share whose last renewal is
-// old. The mutex is held.
+// renewalsDue returns the replicas that have reported since the last share and whose
+// heartbeat is due to be shared again. The caller holds the mutex.
 func (s *Service) renewalsDue(now time.Time) []upstream.ReplicaID {
 	interval := s.options.Roster.ReplicaLifetime / renewalsPerLifetime
 	maps.DeleteFunc(s.sharedAt, func(_ upstream.ReplicaID, at time.Time) bool { return now.Sub(at) >= interval })
 	var due []upstream.ReplicaID
-	for id := range s.heardReplicas {
+	for id := range s.unsharedReplicas {
 		if _, recent := s.sharedAt[id]; !recent {
 			due = append(due, id)
 			s.sharedAt[id] = now
@@ -157,18 +158,18 @@
 	return due
 }
 
-// push tells all other control VMs of a change and waits for them, pushTimeout
-// at most. It goes on when the one who brought the change has left.
+// push sends a change to all other control VMs and waits for them, for pushTimeout at
+// most. The calls continue when ctx ends.
 func (s *Service) push(ctx context.Context, request *controlapi.ShareRequest) {
-	await(s.spread(ctx, request), pushTimeout)
+	awaitAll(s.broadcast(ctx, request), pushTimeout)
 }
 
-// spread tells all other control VMs, and does not wait for them.
-func (s *Service) spread(ctx context.Context, request *controlapi.ShareRequest) []<-chan struct{} {
-	return s.spreader.spread(ctx, s.controls(), request)
+// broadcast sends a message to all other control VMs without waiting for them.
+func (s *Service) broadcast(ctx context.Context, request *controlapi.ShareRequest) []<-chan struct{} {
+	return s.broadcaster.broadcast(ctx, s.controls(), request)
 }
 
-// sendTo calls control VMs at once and gives the answers that came.
+// sendTo calls control VMs concurrently and returns the responses of those that succeed.
 func (s *Service) sendTo(ctx context.Context, addresses []string, request *controlapi.ShareRequest, timeout time.Duration) []*controlapi.ShareResponse {
 	request.From = s.options.Address
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -183,7 +184,7 @@
 		calls.Go(func() {
 			answer, err := rpc.Call(ctx, s.options.Calls, address, controlapi.Share, request)
 			if err != nil {
-				s.options.Log.Debug("control VM not told", zap.String("address", address), zap.Error(err))
+				s.options.Log.Debug("cannot request the state of a control VM", zap.String("address", address), zap.Error(err))
 				return
 			}
 			mu.Lock()
@@ -195,7 +196,7 @@
 	return answers
 }
 
-// controls lists the peers addresses of the control VMs, this one included.
+// controls returns the peers addresses of the control VMs, including this one.
 func (s *Service) controls() []string {
 	addresses := []string{s.options.Address}
 	for _, m := range s.options.Group.Known() {
@@ -217,18 +218,18 @@
 	return slices.Compact(addresses)
 }
 
-// share takes in what another control VM has heard.
+// share merges the reports that another control VM has received.
 func (s *Service) share(_ context.Context, request *controlapi.ShareRequest) (*controlapi.ShareResponse, error) {
 	s.mu.Lock()
 	s.contacts[request.From] = time.Now()
 	s.mu.Unlock()
 	s.options.Group.NoteCandidates(request.Candidates)
 	changed := s.merge(request.Replicas, request.Gates)
-	if s.mergeLeft(request.Left) || changed {
-		s.keep()
+	if s.mergeDepartures(request.Departures) || changed {
+		s.persist()
 	}
 	response := &controlapi.ShareResponse{}
-	if request.Whole {
+	if request.Full {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		now := time.Now()
@@ -238,37 +239,38 @@
 	return response, nil
 }
 
-// merge takes in what was heard elsewhere; it says whether any replica changed.
+// merge records reports that other control VMs have received. It reports whether any
+// replica changed.
 func (s *Service) merge(replicas []roster.ReplicaReport, gates []roster.GateReport) (changed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	for _, heard := range replicas {
-		if heard.Replica.Validate() != nil {
+	for _, report := range replicas {
+		if report.Replica.Validate() != nil {
 			s.options.Metrics.Count(string(upstream.ReasonBadAnnouncement))
 			continue
 		}
-		changed = s.table.Announce(now, heard.Replica, heard.Age) == roster.Changed || changed
+		changed = s.table.Announce(now, report.Replica, report.Age) == roster.Changed || changed
 	}
-	news := changed
-	for _, heard := range gates {
-		if heard.Unresponsive {
-			news = s.table.MarkUnresponsive(&heard.Gate) || news
+	rosterChanged := changed
+	for _, report := range gates {
+		if report.Unresponsive {
+			rosterChanged = s.table.MarkUnresponsive(&report.Gate) || rosterChanged
 			continue
 		}
-		news = s.table.RecordReport(now, heard.Gate, heard.Age) || news
+		rosterChanged = s.table.RecordReport(now, report.Gate, report.Age) || rosterChanged
 	}
-	if news {
+	if rosterChanged {
 		s.notify()
 	}
 	return changed
 }
 
-func (s *Service) mergeLeft(left []controlapi.Left) (changed bool) {
+func (s *Service) mergeDepartures(departures []controlapi.Departure) (changed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, l := range left {
-		if _, news := s.table.Leave(l.Replica, l.Incarnation); news {
+	for _, d := range departures {
+		if _, first := s.table.Leave(d.Replica, d.Incarnation); first {
 			changed = true
 			s.notify()
 		}
--- a/internal/control/silence.go
+++ b/internal/control/silence.go
@@ -10,51 +10,52 @@
 	"slateway.example/slateway/internal/roster"
 )
 
-// silenceGrace is how long a gate may take from an answer to its next question, which
-// follows at once from a gate that runs: some round trips, and a lost packet. A gate
-// that has turned to another control VM is known of by then.
-const silenceGrace = 500 * time.Millisecond
+// pollGrace is the maximum time from a response to the gate's next long poll. A running
+// gate polls again at once, so this allows for a few round trips and a lost packet. By
+// then, a gate that has switched to another control VM has been reported by that one.
+const pollGrace = 500 * time.Millisecond
 
-// attend notes that a gate's question is held here, and gives what to call when it has
-// been answered. A gate without a question anywhere is not named to callers any more,
-// long before its lifetime is over: those who are sent to one that is frozen wait a
-// second for their connection.
-func (s *Service) attend(ctx context.Context, gate *roster.Gate) (answered func()) {
+// trackLongPoll records that a gate's long poll is open and returns the function to call
+// when it ends. A gate without a long poll at any control VM is removed from the answers
+// to callers well before its lifetime expires: a caller that is sent to a frozen gate
+// waits a second for its connection.
+func (s *Service) trackLongPoll(ctx context.Context, gate *roster.Gate) (end func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.held[gate.VM]++
+	s.longPolls[gate.VM]++
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.held[gate.VM]--
-		if s.held[gate.VM] > 0 {
+		s.longPolls[gate.VM]--
+		if s.longPolls[gate.VM] > 0 {
 			return
 		}
-		delete(s.held, gate.VM)
-		time.AfterFunc(silenceGrace, func() { s.checkSilent(context.WithoutCancel(ctx), gate) })
+		delete(s.longPolls, gate.VM)
+		time.AfterFunc(pollGrace, func() { s.checkUnresponsive(context.WithoutCancel(ctx), gate) })
 	}
 }
 
-// checkSilent leaves a gate out that has asked nobody since its last report here.
-func (s *Service) checkSilent(ctx context.Context, gate *roster.Gate) {
+// checkUnresponsive marks a gate unresponsive if it has not polled any control VM since
+// its last report here.
+func (s *Service) checkUnresponsive(ctx context.Context, gate *roster.Gate) {
 	s.mu.Lock()
-	silent := s.held[gate.VM] == 0 && s.table.MarkUnresponsive(gate)
-	if silent {
+	unresponsive := s.longPolls[gate.VM] == 0 && s.table.MarkUnresponsive(gate)
+	if unresponsive {
 		s.notify()
 	}
 	s.mu.Unlock()
-	if !silent {
+	if !unresponsive {
 		return
 	}
 	s.options.Metrics.Count("gates.silent")
-	s.options.Log.Info("gate silent, not named to callers", zap.String("gate", gate.VM), zap.Uint64("sequence", gate.Sequence))
-	s.spread(ctx, &controlapi.ShareRequest{Gates: []roster.GateReport{{Gate: *gate, Unresponsive: true}}})
+	s.options.Log.Info("gate unresponsive, callers are not sent to it", zap.String("gate", gate.VM), zap.Uint64("sequence", gate.Sequence))
+	s.broadcast(ctx, &controlapi.ShareRequest{Gates: []roster.GateReport{{Gate: *gate, Unresponsive: true}}})
 }
 
-// turnsHere notes a gate's question, and says whether the gate asked elsewhere before.
-// The mutex is held.
-func (s *Service) turnsHere(gate string, now time.Time) bool {
-	last, known := s.asked[gate]
-	s.asked[gate] = now
+// recordFollow records the time of a gate's poll and reports whether the gate has
+// switched to this control VM. The caller holds the mutex.
+func (s *Service) recordFollow(gate string, now time.Time) bool {
+	last, known := s.lastFollow[gate]
+	s.lastFollow[gate] = now
 	return !known || now.Sub(last) > 2*maxFollowWait
 }
--- a/internal/control/silence_test.go
+++ b/internal/control/silence_test.go
@@ -10,7 +10,7 @@
 	"slateway.example/slateway/internal/rpc"
 )
 
-// follower asks a control VM as a gate does.
+// follower polls a control VM as a gate does.
 type follower struct {
 	t       *testing.T
 	calls   *rpc.Client
@@ -24,8 +24,8 @@
 	}}
 }
 
-// ask asks once and gives the gates that live.
-func (f *follower) ask(address string) []roster.Gate {
+// poll polls once and returns the gates in the response.
+func (f *follower) poll(address string) []roster.Gate {
 	f.t.Helper()
 	f.request.Gate.Sequence++
 	response, err := rpc.Call(f.t.Context(), f.calls, address, controlapi.Follow, f.request)
@@ -36,15 +36,16 @@
 	return response.Changes.Gates
 }
 
-// namedFor asks for everything until the gate is named no more, or the time is over.
-func namedFor(f *follower, address, gate string, longest time.Duration) time.Duration {
+// listedFor polls for the full list until the gate is no longer in it, for limit at most.
+// It returns how long that took.
+func listedFor(f *follower, address, gate string, limit time.Duration) time.Duration {
 	began := time.Now()
-	for time.Since(began) < longest {
-		named := false
-		for _, g := range f.ask(address) {
-			named = named || g.VM == gate
+	for time.Since(began) < limit {
+		listed := false
+		for _, g := range f.poll(address) {
+			listed = listed || g.VM == gate
 		}
-		if !named {
+		if !listed {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -52,27 +53,27 @@
 	return time.Since(began)
 }
 
-// Guards against callers who are sent to a frozen gate until its lifetime is over.
+// Callers must not be sent to a frozen gate until its lifetime expires.
 func TestAGateThatAsksNoMoreIsLeftOutSoon(t *testing.T) {
 	first, calls := startControl(t, &member{})
 	frozen := newFollower(t, calls, "gate-1")
-	frozen.ask(first)
+	frozen.poll(first)
 	other := newFollower(t, calls, "gate-2")
-	if took := namedFor(other, first, "gate-1", 3*time.Second); took < 300*time.Millisecond || took > time.Second {
-		t.Errorf("left out after %s", took)
+	if took := listedFor(other, first, "gate-1", 3*time.Second); took < 300*time.Millisecond || took > time.Second {
+		t.Errorf("the frozen gate was removed after %s, want 300ms to 1s", took)
 	}
-	frozen.ask(first)
-	if took := namedFor(other, first, "gate-1", 200*time.Millisecond); took < 200*time.Millisecond {
-		t.Error("not named though it asks again")
+	frozen.poll(first)
+	if took := listedFor(other, first, "gate-1", 200*time.Millisecond); took < 200*time.Millisecond {
+		t.Error("the gate is not listed although it polls again")
 	}
 }
 
-// Guards against a gate that is left out because it has turned to another control VM.
+// A gate that has switched to another control VM must not be considered unresponsive.
 func TestAGateThatAsksElsewhereIsNotSilent(t *testing.T) {
 	first, calls := startControl(t, &member{})
 	second, _ := startControl(t, &member{}, first)
 	moving := newFollower(t, calls, "gate-1")
-	moving.ask(first)
+	moving.poll(first)
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
 	go func() {
@@ -82,25 +83,25 @@
 		}
 	}()
 	other := newFollower(t, calls, "gate-2")
-	if took := namedFor(other, first, "gate-1", 1500*time.Millisecond); took < 1500*time.Millisecond {
-		t.Errorf("left out after %s", took)
+	if took := listedFor(other, first, "gate-1", 1500*time.Millisecond); took < 1500*time.Millisecond {
+		t.Errorf("the gate was removed after %s although it polls another control VM", took)
 	}
 }
 
-// Guards against a gate that is left out while one of its two questions is still held.
+// A gate must not be considered unresponsive while one of its two long polls is open.
 func TestAGateWhoseQuestionIsHeldIsNotSilent(t *testing.T) {
 	address, calls := startControl(t, &member{})
 	other := newFollower(t, calls, "gate-2")
-	other.ask(address)
-	held := newFollower(t, calls, "gate-1")
-	held.ask(address)
+	other.poll(address)
+	polling := newFollower(t, calls, "gate-1")
+	polling.poll(address)
 	go func() {
-		request := *held.request
-		request.Epoch, request.Since, request.Wait = held.last.Epoch, held.last.Changes.Version, time.Second
+		request := *polling.request
+		request.Epoch, request.Since, request.Wait = polling.last.Epoch, polling.last.Changes.Version, time.Second
 		request.Gate.Sequence++
-		_, _ = rpc.Call(t.Context(), calls, address, controlapi.Follow, &request) // held until the test has ended
+		_, _ = rpc.Call(t.Context(), calls, address, controlapi.Follow, &request) // open until the test ends
 	}()
-	if took := namedFor(other, address, "gate-1", 600*time.Millisecond); took < 600*time.Millisecond {
-		t.Errorf("left out after %s", took)
+	if took := listedFor(other, address, "gate-1", 600*time.Millisecond); took < 600*time.Millisecond {
+		t.Errorf("the gate was removed after %s although its long poll is open", took)
 	}
 }
--- a/internal/control/spread.go
+++ b/internal/control/spread.go
@@ -16,149 +16,149 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// spreader tells other control VMs what was heard here, with one call at a time to
-// each of them. What comes while a call is under way goes with the next one: when
-// hundreds of gates start together, a call for each of them would take hundreds of
-// connections to each control VM.
-type spreader struct {
+// broadcaster sends messages to other control VMs with one call at a time to each of
+// them. Messages that arrive during a call are batched into the next one: when hundreds
+// of gates start together, a call for each of them would take hundreds of connections to
+// each control VM.
+type broadcaster struct {
 	self  string // peers address of this VM
 	calls *rpc.Client
 	log   *zap.Logger
 
 	mu    sync.Mutex
-	peers map[string]*outgoing // by peers address
-	// unreachable are those whose last call failed.
+	peers map[string]*peerQueue // by peers address
+	// unreachable contains the addresses whose last call failed.
 	unreachable map[string]bool
 }
 
-// outgoing is what one control VM is still to be told.
-type outgoing struct {
+// peerQueue holds what is to be sent to one control VM.
+type peerQueue struct {
 	sending bool
-	next    *parcel // nil: nothing
+	next    *batch // nil if there is nothing to send
 }
 
-// parcel is the content of one call: the newest of each replica and gate.
-type parcel struct {
+// batch is the content of one call: the newest report of each replica and gate.
+type batch struct {
 	replicas   map[upstream.ReplicaID]roster.ReplicaReport
 	gates      map[string]roster.GateReport
-	left       map[upstream.ReplicaID]controlapi.Left
+	departures map[upstream.ReplicaID]controlapi.Departure
 	candidates []quorum.Member
-	done       chan struct{} // closes when the call has ended
+	done       chan struct{} // closed when the call ends
 }
 
-func newSpreader(self string, calls *rpc.Client, log *zap.Logger) *spreader {
-	return &spreader{self: self, calls: calls, log: log, peers: make(map[string]*outgoing), unreachable: make(map[string]bool)}
+func newBroadcaster(self string, calls *rpc.Client, log *zap.Logger) *broadcaster {
+	return &broadcaster{self: self, calls: calls, log: log, peers: make(map[string]*peerQueue), unreachable: make(map[string]bool)}
 }
 
-// spread queues a message for the control VMs at the addresses and gives a channel
-// for each, which closes when the call that carries it has ended.
-func (s *spreader) spread(ctx context.Context, addresses []string, message *controlapi.ShareRequest) []<-chan struct{} {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// broadcast queues a message for the control VMs at the addresses. It returns a channel
+// for each, which closes when the call that carries the message ends.
+func (b *broadcaster) broadcast(ctx context.Context, addresses []string, message *controlapi.ShareRequest) []<-chan struct{} {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	var ends []<-chan struct{}
 	for _, address := range addresses {
-		if address == s.self {
+		if address == b.self {
 			continue
 		}
-		peer := s.peers[address]
+		peer := b.peers[address]
 		if peer == nil {
-			peer = &outgoing{}
-			s.peers[address] = peer
+			peer = &peerQueue{}
+			b.peers[address] = peer
 		}
 		if peer.next == nil {
-			peer.next = newParcel()
+			peer.next = newBatch()
 		}
 		peer.next.add(message)
 		ends = append(ends, peer.next.done)
 		if !peer.sending {
 			peer.sending = true
-			go s.run(ctx, address)
+			go b.run(ctx, address)
 		}
 	}
 	return ends
 }
 
-// run sends parcels to one control VM until there is none left.
-func (s *spreader) run(ctx context.Context, address string) {
+// run sends batches to one control VM until none is left.
+func (b *broadcaster) run(ctx context.Context, address string) {
 	for {
-		next := s.take(address)
+		next := b.take(address)
 		if next == nil {
 			return
 		}
-		s.send(ctx, address, next)
+		b.send(ctx, address, next)
 		close(next.done)
 	}
 }
 
-func (s *spreader) take(address string) *parcel {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	peer := s.peers[address]
+func (b *broadcaster) take(address string) *batch {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	peer := b.peers[address]
 	next := peer.next
 	peer.next = nil
 	if next == nil {
-		delete(s.peers, address)
+		delete(b.peers, address)
 	}
 	return next
 }
 
-func (s *spreader) send(ctx context.Context, address string, p *parcel) {
+func (b *broadcaster) send(ctx context.Context, address string, content *batch) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shareTimeout)
 	defer cancel()
-	_, err := rpc.Call(ctx, s.calls, address, controlapi.Share, p.request(s.self))
-	s.mu.Lock()
-	before := s.unreachable[address]
+	_, err := rpc.Call(ctx, b.calls, address, controlapi.Share, content.request(b.self))
+	b.mu.Lock()
+	before := b.unreachable[address]
 	if err != nil {
-		s.unreachable[address] = true
+		b.unreachable[address] = true
 	} else {
-		delete(s.unreachable, address)
+		delete(b.unreachable, address)
 	}
-	s.mu.Unlock()
+	b.mu.Unlock()
 	if before != (err != nil) {
-		s.log.Info("control VM", zap.String("address", address), zap.Bool("reachable", err == nil), zap.Error(err))
+		b.log.Info("reachability of a control VM changed", zap.String("address", address), zap.Bool("reachable", err == nil), zap.Error(err))
 	}
 }
 
-// isUnreachable says whether the last call to a control VM failed.
-func (s *spreader) isUnreachable(address string) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.unreachable[address]
+// isUnreachable reports whether the last call to a control VM failed.
+func (b *broadcaster) isUnreachable(address string) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.unreachable[address]
 }
 
-func newParcel() *parcel {
-	return &parcel{
+func newBatch() *batch {
+	return &batch{
 		replicas: make(map[upstream.ReplicaID]roster.ReplicaReport), gates: make(map[string]roster.GateReport),
-		left: make(map[upstream.ReplicaID]controlapi.Left), done: make(chan struct{}),
+		departures: make(map[upstream.ReplicaID]controlapi.Departure), done: make(chan struct{}),
 	}
 }
 
-func (p *parcel) add(message *controlapi.ShareRequest) {
-	for _, heard := range message.Replicas {
-		p.replicas[heard.Replica.Replica] = heard
+func (b *batch) add(message *controlapi.ShareRequest) {
+	for _, report := range message.Replicas {
+		b.replicas[report.Replica.Replica] = report
 	}
-	for _, heard := range message.Gates {
-		p.gates[heard.Gate.VM] = heard
+	for _, report := range message.Gates {
+		b.gates[report.Gate.VM] = report
 	}
-	for _, left := range message.Left {
-		p.left[left.Replica] = left
+	for _, departure := range message.Departures {
+		b.departures[departure.Replica] = departure
 	}
 	if len(message.Candidates) > 0 {
-		p.candidates = message.Candidates
+		b.candidates = message.Candidates
 	}
 }
 
-func (p *parcel) request(from string) *controlapi.ShareRequest {
+func (b *batch) request(from string) *controlapi.ShareRequest {
 	return &controlapi.ShareRequest{
-		From: from, Candidates: p.candidates,
-		Replicas: slices.Collect(maps.Values(p.replicas)),
-		Gates:    slices.Collect(maps.Values(p.gates)),
-		Left:     slices.Collect(maps.Values(p.left)),
+		From: from, Candidates: b.candidates,
+		Replicas:   slices.Collect(maps.Values(b.replicas)),
+		Gates:      slices.Collect(maps.Values(b.gates)),
+		Departures: slices.Collect(maps.Values(b.departures)),
 	}
 }
 
-// await returns when all ends have closed, or after timeout.
-func await(ends []<-chan struct{}, timeout time.Duration) {
+// awaitAll returns when all channels are closed, or after timeout.
+func awaitAll(ends []<-chan struct{}, timeout time.Duration) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for _, end := range ends {
