--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -154,7 +154,7 @@
 func (f *Fleet) Alone() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.node.Alone(time.Now())
+	return f.node.Isolated(time.Now())
 }
 
 // SetDigest spreads the VM's own digest of a kind within its place.
--- a/internal/member/area.go
+++ b/internal/member/area.go
@@ -8,21 +8,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// areaTable holds the areas of other places, and of the own place as other
-// publishers see it, keyed by place and publisher. A place that is split has a
-// publisher on each side, and neither must hide the other.
+// areaTable holds the areas of other places, and those of the own place by other
+// publishers, keyed by place and publisher. A partitioned place has a publisher on each
+// side, and neither must hide the other.
 type areaTable struct {
-	list       []*areaEntry // sorted by place, then publisher
-	sums       []Digest     // own sums of this place
-	version    uint64       // of the last own publication
-	near, far  publication
-	handedDown time.Time
+	list          []*areaEntry // sorted by place, then publisher
+	sums          []Digest     // sums of the own place, as set on this VM
+	version       uint64       // of this VM's last publication
+	near, far     publication
+	distributedAt time.Time // last distribution to the own place
 }
 
 type areaEntry struct {
-	area    Area
-	heardAt time.Time
-	news    *Area // what came since areas were last handed down
+	area       Area
+	receivedAt time.Time
+	pending    *Area // changes since the last distribution to the own place
 }
 
 func newAreaTable() areaTable { return areaTable{} }
@@ -54,15 +54,15 @@
 func (t *areaTable) freshPlaces(now time.Time, n *Node) []string {
 	var places []string
 	for _, entry := range t.list {
-		if !n.stale(now, entry) && !slices.Contains(places, entry.area.Place) {
+		if !n.isStale(now, entry) && !slices.Contains(places, entry.area.Place) {
 			places = append(places, entry.area.Place)
 		}
 	}
 	return places
 }
 
-// SetSum replaces a sum of the own place. Every VM of the place may set it; the
-// delegate's value travels.
+// SetSum replaces a sum of the own place. Every VM of the place may set it; the delegate
+// publishes its own value.
 func (n *Node) SetSum(kind DigestKind, data []byte) {
 	i := slices.IndexFunc(n.areas.sums, func(d Digest) bool { return d.Kind == kind })
 	if i < 0 {
@@ -74,32 +74,32 @@
 	}
 }
 
-// Areas lists the areas of other places. A place that is split has several, one
-// of each publisher.
+// Areas returns the areas of other places. A partitioned place has several, one of each
+// publisher.
 //
-// One that missed a publication while another publisher of the place made its own
-// is left out: the delegate has changed, and a gate that drained since would
-// still be named to callers, who find its port closed when it has gone.
+// An area that missed a publication while another publisher of its place published is
+// left out, since the delegate has changed. Its entries may contain a gate that has
+// drained since, and callers would be sent to a closed port.
 func (n *Node) Areas(now time.Time) []PlaceArea {
-	latest := n.areas.latest()
+	latest := n.areas.lastReceived()
 	var areas []PlaceArea
 	for _, entry := range n.areas.list {
-		missed := latest[entry.area.Place].Sub(entry.heardAt) > n.interval(entry)*3/2
+		missed := latest[entry.area.Place].Sub(entry.receivedAt) > n.interval(entry)*3/2
 		if entry.area.Place != n.self.VM.Place && !missed {
-			areas = append(areas, PlaceArea{Area: entry.area, Stale: n.stale(now, entry)})
+			areas = append(areas, PlaceArea{Area: entry.area, Stale: n.isStale(now, entry)})
 		}
 	}
 	return areas
 }
 
-func (n *Node) stale(now time.Time, entry *areaEntry) bool {
-	return now.Sub(entry.heardAt) > staleFactor*n.keepalive(entry)
+func (n *Node) isStale(now time.Time, entry *areaEntry) bool {
+	return now.Sub(entry.receivedAt) > staleFactor*n.keepalive(entry)
 }
 
-// keepalive is the pace at which an unchanged area is published.
+// keepalive returns the interval at which an unchanged area is published.
 func (n *Node) keepalive(entry *areaEntry) time.Duration { return keepaliveFactor * n.interval(entry) }
 
-// interval is the pace at which a changing area is published.
+// interval returns the interval at which a changing area is published.
 func (n *Node) interval(entry *areaEntry) time.Duration {
 	if entry.area.Region == n.self.VM.Region {
 		return n.config.NearInterval
@@ -107,20 +107,20 @@
 	return n.config.FarInterval
 }
 
-// latest gives for each place when it was last heard of.
-func (t *areaTable) latest() map[string]time.Time {
+// lastReceived returns when an area was last received, by place.
+func (t *areaTable) lastReceived() map[string]time.Time {
 	latest := map[string]time.Time{}
 	for _, entry := range t.list {
-		if entry.heardAt.After(latest[entry.area.Place]) {
-			latest[entry.area.Place] = entry.heardAt
+		if entry.receivedAt.After(latest[entry.area.Place]) {
+			latest[entry.area.Place] = entry.receivedAt
 		}
 	}
 	return latest
 }
 
-// ranked lists the alive VMs of the place, this one included, in the order of
-// the tree: the first is the delegate. The order is by hash, so the work does
-// not always fall on the VM that is first by name.
+// ranked returns the alive VMs of the place, including this one, in the order of the
+// tree. The first is the delegate. They are ordered by hash, so that the work does not
+// always fall on the VM that is first by name.
 func (n *Node) ranked() []string {
 	var names []string
 	if n.self.State == Alive {
@@ -149,7 +149,7 @@
 	return len(ranked) > 0 && ranked[0] == n.self.VM.Name
 }
 
-// ownArea sums up the place as this VM sees it.
+// ownArea returns the area of the own place as seen by this VM.
 func (n *Node) ownArea(now time.Time) Area {
 	area := Area{
 		Place: n.self.VM.Place, Region: n.self.VM.Region, Publisher: n.self.VM.Name,
@@ -164,7 +164,7 @@
 		if len(area.Contacts) < maxContacts {
 			area.Contacts = append(area.Contacts, Contact{VM: name, Peers: record.VM.Peers})
 		}
-		if !record.takesCallers() {
+		if !record.acceptsCallers() {
 			continue
 		}
 		area.Gates++
@@ -172,13 +172,13 @@
 			area.Entries = append(area.Entries, Entry{VM: name, Callers: record.VM.Callers})
 		}
 	}
-	// Versions of one publisher rise across its restarts by the clock.
+	// The clock makes the versions of one publisher increase across its restarts.
 	area.Version = max(area.Version, uint64(now.UnixMilli()))
 	return area
 }
 
-// introduction is the own area for a VM that may know nothing of this place. It
-// has the lowest version, so that it never hides what the delegate published.
+// introduction returns the own area for a VM that may not know this place. It has the
+// lowest version, so that it never replaces what the delegate has published.
 func (n *Node) introduction(now time.Time) Area {
 	area := n.ownArea(now).forRegion("")
 	area.Version = 1
@@ -188,23 +188,24 @@
 	return area
 }
 
-// mergeAreas takes newer areas. One of the own place from a publisher that is
-// not known here means that the place was split; a join heals it.
+// mergeAreas stores the newer areas in m and forwards them. An area of the own place from
+// another publisher means that the place was partitioned; joining its contacts heals the
+// partition.
 func (n *Node) mergeAreas(now time.Time, m *message) {
-	var news []Area
+	var updates []Area
 	for _, area := range m.Areas {
 		if area.Publisher == n.self.VM.Name || !n.areas.merge(now, area, n) {
 			continue
 		}
-		news = append(news, area)
+		updates = append(updates, area)
 		if area.Place == n.self.VM.Place {
 			n.joinContacts(now, area)
 		}
 	}
-	if len(news) == 0 || m.Kind != kindAreas {
+	if len(updates) == 0 || m.Kind != kindAreas {
 		return
 	}
-	n.passOn(m, news)
+	n.forwardAreas(m, updates)
 }
 
 func (n *Node) joinContacts(now time.Time, area Area) {
@@ -216,58 +217,58 @@
 	}
 }
 
-func (n *Node) joinContact(now time.Time, contact Contact, held *peer) {
-	if held == nil {
+func (n *Node) joinContact(now time.Time, contact Contact, lost *peer) {
+	if lost == nil {
 		n.join(now, contact.Peers, nil)
 		return
 	}
-	n.join(now, contact.Peers, &held.record)
+	n.join(now, contact.Peers, &lost.record)
 }
 
-// merge stores a newer area and reports whether it was one.
+// merge stores an area if it is newer than the known one, and reports whether it was.
 func (t *areaTable) merge(now time.Time, area Area, n *Node) bool {
 	i, found := t.find(areaKey{area.Place, area.Publisher})
 	if !found && area.Partial {
-		return false // the next whole one is waited for
+		return false // a partial area needs a full one first
 	}
 	if !found {
-		t.list = slices.Insert(t.list, i, &areaEntry{area: area, heardAt: now, news: &area})
-		n.sumEvents(nil, area)
+		t.list = slices.Insert(t.list, i, &areaEntry{area: area, receivedAt: now, pending: &area})
+		n.emitSumChanges(nil, area)
 		return true
 	}
 	entry := t.list[i]
 	if entry.area.Version >= area.Version {
 		return false
 	}
-	n.sumEvents(entry.area.Sums, area)
-	entry.area = entry.area.with(area)
-	entry.heardAt = now
-	if entry.news != nil {
-		area = entry.news.with(area)
+	n.emitSumChanges(entry.area.Sums, area)
+	entry.area = entry.area.updatedBy(area)
+	entry.receivedAt = now
+	if entry.pending != nil {
+		area = entry.pending.updatedBy(area)
 	}
-	entry.news = &area
+	entry.pending = &area
 	return true
 }
 
-func (n *Node) sumEvents(known []Digest, area Area) {
+func (n *Node) emitSumChanges(known []Digest, area Area) {
 	if area.Place == n.self.VM.Place {
 		return
 	}
 	for _, sum := range area.Sums {
 		same := slices.ContainsFunc(known, func(d Digest) bool { return d.Kind == sum.Kind && slices.Equal(d.Data, sum.Data) })
 		if !same {
-			n.event(Event{Kind: SumChanged, Place: area.Place, VM: area.Publisher, Digest: sum.Kind, Data: sum.Data})
+			n.emit(Event{Kind: SumChanged, Place: area.Place, VM: area.Publisher, Digest: sum.Kind, Data: sum.Data})
 		}
 	}
 }
 
-// forgetAreas drops areas whose publisher is long gone, and those that missed
-// a keepalive while another publisher of the same place kept its own: the
-// delegate has changed.
+// forgetAreas removes areas whose publisher is long gone, and areas that missed a
+// keepalive while another publisher of the same place published: there the delegate has
+// changed.
 func (n *Node) forgetAreas(now time.Time) {
-	latest := n.areas.latest()
+	latest := n.areas.lastReceived()
 	n.areas.list = slices.DeleteFunc(n.areas.list, func(entry *areaEntry) bool {
-		replaced := latest[entry.area.Place].Sub(entry.heardAt) > n.keepalive(entry)*3/2
-		return replaced || now.Sub(entry.heardAt) >= n.config.ForgetAfter
+		replaced := latest[entry.area.Place].Sub(entry.receivedAt) > n.keepalive(entry)*3/2
+		return replaced || now.Sub(entry.receivedAt) >= n.config.ForgetAfter
 	})
 }
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -25,7 +25,7 @@
 func (w *network) setDigest(g *WithT, address, value string) {
 	output, err := w.nodes[address].SetDigest(w.now, load, []byte(value))
 	g.Expect(err).NotTo(HaveOccurred())
-	w.take(address, output)
+	w.apply(address, output)
 }
 
 func TestDigestReachesThePlaceInOneHop(t *testing.T) {
@@ -37,7 +37,7 @@
 		g.Expect(w.states(address)).To(Equal(allAlive("a", 6)))
 	}
 	w.setDigest(g, place[3], "busy")
-	w.take(place[4], w.nodes[place[4]].SetDraining(w.now))
+	w.apply(place[4], w.nodes[place[4]].SetDraining(w.now))
 	w.run(step)
 	for _, address := range place {
 		g.Expect(w.digest(address, "a-3", load)).To(Equal("busy"))
@@ -45,14 +45,14 @@
 	}
 }
 
-// A VM's process is stopped for eight seconds, as by a stalled host. The others
-// hold it for lost. When it goes on, callers must get it back at once, and it
-// must not take all others for lost because their answers came while it slept.
+// A VM's process is paused for eight seconds, as by a stalled host, and considered lost.
+// When it resumes, it must be alive to the others at once, and it must not suspect them
+// because their answers arrived during the pause.
 func TestPausedVMRefutesAndSuspectsNoOne(t *testing.T) {
 	g := NewWithT(t)
 	w := newNetwork(2)
 	place := w.addPlace("a", 5)
-	w.run(3*time.Second + step) // ends on a probe, whose answer is not read
+	w.run(3*time.Second + step) // ends with a probe, whose answer is not read
 	w.paused[place[2]] = true
 	w.run(8 * time.Second)
 	g.Expect(w.states(place[0])).To(ContainElement("a-2:lost"))
@@ -64,14 +64,14 @@
 		g.Expect(w.states(address)).To(Equal(allAlive("a", 5)))
 	}
 	for _, event := range w.events {
-		g.Expect(event).NotTo(HavePrefix(place[2]+" 1"), "the woken VM changed its mind about another")
+		g.Expect(event).NotTo(HavePrefix(place[2]+" 1"), "the resumed VM changed the state of another one")
 	}
 }
 
-// Half of a place is cut off by a switch for a minute, after the only seed has
-// gone. Each side holds the other for lost. When the switch is back nobody
-// speaks to the lost ones by itself, so without the reconnection the place would
-// stay split for good. On healing no VM may be held for lost by its own side.
+// A switch cuts off half of a place for a minute, while the only seed is gone, and each
+// side considers the other lost. Without reconnects the place would stay partitioned,
+// because nobody sends to lost VMs. While the partition heals, no VM may be considered
+// lost by its own side.
 func TestPartitionOfAPlaceHeals(t *testing.T) {
 	g := NewWithT(t)
 	w := newNetwork(3)
@@ -93,8 +93,8 @@
 	g.Expect(strings.Join(w.events, "\n")).NotTo(ContainSubstring(" lost"))
 }
 
-// A gate's network card fails silently. Callers that still reach it would get
-// answers from a gate that knows nothing any more; it must notice by itself.
+// A gate is cut off from the other VMs, as by a faulty network card. Callers that still
+// reach it would be served from an outdated view, so it must detect its isolation.
 func TestIsolatedVMKnowsThatItIsAlone(t *testing.T) {
 	g := NewWithT(t)
 	w := newNetwork(4)
@@ -102,21 +102,21 @@
 	w.run(3 * time.Second)
 	w.cut = func(from, to string) bool { return from == place[1] || to == place[1] }
 	w.run(6 * time.Second)
-	g.Expect(w.nodes[place[1]].Alone(w.now)).To(BeTrue())
-	g.Expect(w.nodes[place[0]].Alone(w.now)).To(BeFalse())
+	g.Expect(w.nodes[place[1]].Isolated(w.now)).To(BeTrue())
+	g.Expect(w.nodes[place[0]].Isolated(w.now)).To(BeFalse())
 	w.cut = func(string, string) bool { return false }
 	w.run(10 * time.Second)
-	g.Expect(w.nodes[place[1]].Alone(w.now)).To(BeFalse())
+	g.Expect(w.nodes[place[1]].Isolated(w.now)).To(BeFalse())
 
 	single := newNetwork(4)
 	only := single.add("b", 0, "b:0")
 	single.run(time.Hour / 60)
-	g.Expect(single.nodes[only].Alone(single.now)).To(BeFalse())
+	g.Expect(single.nodes[only].Isolated(single.now)).To(BeFalse())
 }
 
-// A VM dies and its process comes back within a second, before anyone noticed,
-// or after it was held for lost, or with a clock set back by a minute. Each time
-// the others must take the new run's digests at once, not the old run's.
+// A VM dies and its process restarts: before the failure was detected, after it was
+// considered lost, or with its clock set back by a minute. The others must replace the
+// digests of the old run by those of the new run at once.
 func TestRestartedVMRejoinsAtOnce(t *testing.T) {
 	for name, downtime := range map[string]time.Duration{"unnoticed": step, "lost": 10 * time.Second, "clock back": -time.Minute} {
 		t.Run(name, func(t *testing.T) {
@@ -143,8 +143,8 @@
 	}
 }
 
-// Only sums travel between places: each VM learns of another place its sums
-// and a few contacts, and a place that is cut off is marked stale, then heals.
+// Places exchange their sums and a few contacts only. A place that is cut off is marked
+// stale until it is connected again.
 func TestSumsTravelBetweenPlaces(t *testing.T) {
 	g := NewWithT(t)
 	w := newNetwork(6)
@@ -179,14 +179,14 @@
 	return areas
 }
 
-// Whatever the network loses, doubles and reorders, and whoever sleeps for a
-// while: once it is calm, all VMs of the place hold the same of each.
+// Whatever packets the network loses, duplicates and reorders, and whichever VMs pause:
+// once the network is reliable again, the views of all VMs of the place converge.
 func TestViewsConverge(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		g := NewWithT(rt)
 		w := newNetwork(rapid.Uint64().Draw(rt, "seed"))
 		w.loss = rapid.Float64Range(0, 0.4).Draw(rt, "loss")
-		w.double = rapid.Float64Range(0, 0.3).Draw(rt, "double")
+		w.duplicate = rapid.Float64Range(0, 0.3).Draw(rt, "double")
 		w.jitter = time.Duration(rapid.IntRange(0, 800).Draw(rt, "jitter")) * time.Millisecond
 		count := rapid.IntRange(2, 6).Draw(rt, "vms")
 		place := w.addPlace("a", count)
@@ -200,7 +200,7 @@
 			w.setDigest(g, address, last[address])
 			w.run(time.Duration(rapid.IntRange(1, 40).Draw(rt, "wait")) * step)
 		}
-		w.loss, w.double, w.jitter = 0, 0, 0
+		w.loss, w.duplicate, w.jitter = 0, 0, 0
 		clear(w.paused)
 		w.run(time.Minute)
 		for _, address := range place {
@@ -212,13 +212,13 @@
 	})
 }
 
-// A place's delegate dies and another VM speaks for the place for a while. The
-// first comes back, and a gate is drained by its operators. The other places
-// still held what the second had said last, and sent callers to the drained gate
-// when it had gone: its port was closed. Within the spread that a drain waits for,
-// six seconds, no gate may name it any more, whichever VM was the delegate.
+// A place's delegate dies, another VM publishes the place's area for a while, the delegate
+// comes back, and a gate is drained. Other places that kept the area of the second
+// publisher would send callers to the closed port of the drained gate. Within the six
+// seconds that a drain waits, the gate must disappear from all areas, whichever VM was
+// the delegate.
 func TestDrainedGateIsForgottenAfterAChangeOfDelegate(t *testing.T) {
-	const spread = 6 * time.Second
+	const drainWait = 6 * time.Second
 	for dead := range 4 {
 		g := NewWithT(t)
 		w := newNetwork(7)
@@ -233,8 +233,8 @@
 		w.paused[fmt.Sprintf("a:%d", dead)] = false
 		w.run(time.Second)
 		drained := fmt.Sprintf("a:%d", (dead+1)%4)
-		w.take(drained, w.nodes[drained].SetDraining(w.now))
-		w.run(spread)
+		w.apply(drained, w.nodes[drained].SetDraining(w.now))
+		w.run(drainWait)
 		for i := range 4 {
 			for _, a := range w.nodes[fmt.Sprintf("b:%d", i)].Areas(w.now) {
 				for _, entry := range a.Entries {
--- a/internal/member/merge.go
+++ b/internal/member/merge.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// mergeRecords takes what m says about VMs of the place.
+// mergeRecords merges the records in m.
 func (n *Node) mergeRecords(now time.Time, m *message) {
 	for i := range m.Records {
 		record := &m.Records[i]
@@ -16,35 +16,35 @@
 			record.VM.Name = m.From
 		}
 		if record.VM.Name == n.self.VM.Name {
-			n.defend(record)
+			n.refute(record)
 			continue
 		}
 		n.merge(now, record)
 	}
 }
 
-// defend answers a record about this VM itself that is ahead of it.
+// refute responds to a record of this VM that is newer than its own.
 //
-// A suspicion is refuted with a greater incarnation. A greater epoch comes from
-// a run of this VM before its clock stepped back; the VM takes a greater epoch,
-// or the others would ignore its digests until the clock has caught up.
-func (n *Node) defend(record *Record) {
+// It refutes a suspicion with a greater incarnation. A greater epoch belongs to an
+// earlier run, before the clock stepped back. The VM then adopts an even greater epoch:
+// otherwise the others would ignore its digests until the clock has caught up.
+func (n *Node) refute(record *Record) {
 	if n.self.State == Left {
 		return
 	}
 	if record.Epoch > n.self.Epoch {
 		n.self.Epoch = record.Epoch + 1
 		n.self.Incarnation = max(n.self.Incarnation, record.Incarnation) + 1
-		n.markOwn()
+		n.markSelf()
 		return
 	}
 	if record.Epoch == n.self.Epoch && record.State > Alive && record.Incarnation >= n.self.Incarnation {
 		n.self.Incarnation = record.Incarnation + 1
-		n.markOwn()
+		n.markSelf()
 	}
 }
 
-// isNewRun reports whether m comes from a run of its sender not known yet.
+// isNewRun reports whether m comes from a run of its sender that is not known yet.
 func (n *Node) isNewRun(m *message) bool {
 	p := n.peers[m.From]
 	if p == nil {
@@ -65,7 +65,7 @@
 		return
 	case incoming.Epoch > known.Epoch:
 		if incoming.VM.Peers == "" {
-			return // a bare push; the whole record comes by sync
+			return // a push without identity; a sync brings the full record
 		}
 		n.replace(now, p, incoming)
 		return
@@ -74,8 +74,8 @@
 	n.mergeDigests(p, incoming)
 }
 
-// add takes a VM that is not known yet. One that is lost or has left is not
-// news and would come back after it was forgotten.
+// add adds a VM that is not known yet. It ignores a VM that is lost or has left, which
+// would otherwise come back after its removal.
 func (n *Node) add(now time.Time, incoming *Record) {
 	if incoming.State >= Lost || incoming.VM.Peers == "" || incoming.VM.Place != n.self.VM.Place {
 		return
@@ -89,14 +89,14 @@
 	n.replace(now, p, incoming)
 }
 
-// replace takes the record of a new run of a VM.
+// replace replaces the record of a VM by that of a new run.
 func (n *Node) replace(now time.Time, p *peer, incoming *Record) {
 	n.dropFromHash(p)
 	p.record = *incoming
 	p.record.Digests = nil
 	p.changedAt = now
 	n.addToHash(p)
-	n.event(Event{Kind: StateChanged, VM: p.record.VM.Name, State: p.record.State})
+	n.emit(Event{Kind: StateChanged, VM: p.record.VM.Name, State: p.record.State})
 	n.mergeDigests(p, incoming)
 }
 
@@ -107,7 +107,7 @@
 	known.Draining = known.Draining || incoming.Draining
 	known.Ready = known.Ready || incoming.Ready
 	if incoming.Incarnation > known.Incarnation || (incoming.Incarnation == known.Incarnation && incoming.State > known.State) {
-		state := n.softened(known, incoming)
+		state := n.resolveState(known, incoming)
 		if known.State != state {
 			known.State = state
 			p.changedAt = now
@@ -117,22 +117,22 @@
 	}
 	n.addToHash(p)
 	if changed {
-		n.event(Event{Kind: StateChanged, VM: known.VM.Name, State: known.State})
+		n.emit(Event{Kind: StateChanged, VM: known.VM.Name, State: known.State})
 	}
 }
 
-// softened gives the state to take from incoming. When a partition heals, the
-// other side reports VMs lost that are well on this side. They are suspected
-// only, each VM by its own clock, and told at once, so that they refute within
-// one exchange; taking the loss would drop half of the place for a moment.
-func (n *Node) softened(known, incoming *Record) State {
+// resolveState returns the state to adopt from incoming. When a partition heals, the
+// other side reports VMs as lost that are alive on this side. Adopting the loss would
+// drop half of the place for a moment. The VM is only suspected instead and notified at
+// once, so that it refutes within one exchange.
+func (n *Node) resolveState(known, incoming *Record) State {
 	if incoming.State != Lost || known.State >= Lost {
 		return incoming.State
 	}
-	held := *known
-	held.State = Suspect
-	held.Incarnation = incoming.Incarnation
-	n.tell(&held)
+	suspected := *known
+	suspected.State = Suspect
+	suspected.Incarnation = incoming.Incarnation
+	n.sendRecord(&suspected)
 	return Suspect
 }
 
@@ -149,17 +149,17 @@
 			p.record.Digests[i] = digest
 		}
 		n.addToHash(p)
-		n.event(Event{Kind: DigestChanged, VM: p.record.VM.Name, Digest: digest.Kind, Data: digest.Data})
+		n.emit(Event{Kind: DigestChanged, VM: p.record.VM.Name, Digest: digest.Kind, Data: digest.Data})
 	}
 }
 
-// setState changes what this VM itself believes of another and spreads it.
+// setState changes the state of a VM as observed by this one and marks it for a push.
 func (n *Node) setState(now time.Time, p *peer, state State) {
 	n.dropFromHash(p)
 	p.record.State = state
 	p.changedAt = now
 	n.addToHash(p)
-	n.event(Event{Kind: StateChanged, VM: p.record.VM.Name, State: state})
+	n.emit(Event{Kind: StateChanged, VM: p.record.VM.Name, State: state})
 	n.markState(p.record.VM.Name)
 }
 
@@ -172,19 +172,19 @@
 	}
 }
 
-// viewHash is equal on two VMs of a place that hold the same of each VM that is
-// not lost. It is the exclusive or of the records' hashes, so that one change
-// costs one hash.
+// viewHash returns a hash that is equal on two VMs of a place if their records of all VMs
+// that are not lost are equal. It is the exclusive or of the records' hashes, so that a
+// change requires hashing one record only.
 func (n *Node) viewHash() uint64 {
 	hash := n.hash ^ hashRecord(&n.self)
 	if hash == 0 {
-		return 1 // zero means that a message carries no hash
+		return 1 // 0 means that a message carries no hash
 	}
 	return hash
 }
 
 func (n *Node) dropFromHash(p *peer) {
-	n.addToHash(p) // exclusive or undoes itself
+	n.addToHash(p) // exclusive or is its own inverse
 }
 
 func (n *Node) addToHash(p *peer) {
--- a/internal/member/message.go
+++ b/internal/member/message.go
@@ -11,16 +11,16 @@
 const (
 	kindProbe        messageKind = 1
 	kindAck          messageKind = 2
-	kindProbeRequest messageKind = 3 // probe Target and forward its answer
+	kindProbeRequest messageKind = 3 // requests a probe of Target and its answer
 	kindPush         messageKind = 4
-	kindSync         messageKind = 5 // Versions of the sender; wants a push and a kindSyncReply
-	kindSyncReply    messageKind = 6 // Versions of the sender; wants a push
-	kindJoin         messageKind = 7 // own record, own area, Places known
+	kindSync         messageKind = 5 // carries the sender's Versions; requests a push and a kindSyncReply
+	kindSyncReply    messageKind = 6 // carries the sender's Versions; requests a push
+	kindJoin         messageKind = 7 // carries the sender's record, its area and the known Places
 	kindAreas        messageKind = 8
 	kindDirect       messageKind = 9
 )
 
-// message is what VMs send to each other. Keys are integers to keep it small.
+// message is a packet between VMs. Its keys are integers to keep it small.
 type message struct {
 	Kind     messageKind     `cbor:"1,keyasint"`
 	From     string          `cbor:"2,keyasint"`
@@ -37,7 +37,8 @@
 	Data     []byte          `cbor:"13,keyasint,omitempty"`
 }
 
-// recordVersion is enough of a record to tell which of two is newer.
+// recordVersion holds the fields of a record that determine which of two records is
+// newer.
 type recordVersion struct {
 	Name        string `cbor:"1,keyasint"`
 	Epoch       uint64 `cbor:"2,keyasint"`
@@ -52,9 +53,9 @@
 	}
 }
 
-// changes counts the owner's lasting changes that the record reflects. Each
-// digest's version only rises, so a record that missed one change has a smaller
-// sum than its owner's.
+// changes counts the owner's changes that the record reflects, without those of volatile
+// digests. Versions of digests only increase, so a record that lacks a change has a
+// smaller count than its owner's record.
 func (r *Record) changes() uint64 {
 	var sum uint64
 	for _, digest := range r.Digests {
@@ -71,8 +72,8 @@
 	return sum
 }
 
-// newer reports whether a record of version v holds something that one of
-// version other lacks.
+// newer reports whether a record of version v contains a change that one of version other
+// lacks.
 func (v recordVersion) newer(other recordVersion) bool {
 	if v.Epoch != other.Epoch {
 		return v.Epoch > other.Epoch
@@ -85,10 +86,10 @@
 func decode(data []byte) (message, error) {
 	var m message
 	if err := codec.Unmarshal(data, &m); err != nil {
-		return message{}, fmt.Errorf("membership packet: %w", err)
+		return message{}, fmt.Errorf("cannot decode membership packet: %w", err)
 	}
 	if m.From == "" || m.Kind == 0 {
-		return message{}, fmt.Errorf("membership packet of kind %d from %q: incomplete", m.Kind, m.From)
+		return message{}, fmt.Errorf("membership packet of kind %d from %q is incomplete: kind or sender is missing", m.Kind, m.From)
 	}
 	return m, nil
 }
--- a/internal/member/network_test.go
+++ b/internal/member/network_test.go
@@ -16,22 +16,22 @@
 
 var start = time.Date(2026, 1, 5, 9, 0, 0, 0, time.UTC)
 
-// network drives nodes by hand: packets arrive after a delay unless cut or
-// dropped; paused nodes neither tick nor receive until they wake.
+// network simulates a network and its clock. Packets arrive after a delay unless they are
+// cut or dropped. Paused nodes neither tick nor receive.
 type network struct {
-	now     time.Time
-	random  *rand.Rand
-	nodes   map[string]*member.Node // by peers address
-	order   []string
-	queue   []flight
-	paused  map[string]bool
-	cut     func(from, to string) bool
-	loss    float64
-	double  float64
-	jitter  time.Duration
-	events  []string
-	bytes   int
-	largest int
+	now       time.Time
+	random    *rand.Rand
+	nodes     map[string]*member.Node // by peers address
+	order     []string
+	queue     []flight
+	paused    map[string]bool
+	cut       func(from, to string) bool
+	loss      float64
+	duplicate float64
+	jitter    time.Duration
+	events    []string
+	bytes     int
+	largest   int
 }
 
 type flight struct {
@@ -57,7 +57,7 @@
 		w.order = append(w.order, vm.Peers)
 	}
 	w.nodes[vm.Peers] = node
-	w.take(vm.Peers, node.SetReady(w.now))
+	w.apply(vm.Peers, node.SetReady(w.now))
 	return vm.Peers
 }
 
@@ -70,7 +70,7 @@
 	return addresses
 }
 
-func (w *network) take(from string, output member.Output) {
+func (w *network) apply(from string, output member.Output) {
 	for _, event := range output.Events {
 		w.events = append(w.events, fmt.Sprintf("%s %d %s %s", from, event.Kind, event.VM, event.State))
 	}
@@ -78,7 +78,7 @@
 		w.bytes += len(packet.Data)
 		w.largest = max(w.largest, len(packet.Data))
 		copies := 1
-		if w.random.Float64() < w.double {
+		if w.random.Float64() < w.duplicate {
 			copies = 2
 		}
 		for range copies {
@@ -97,13 +97,13 @@
 		w.deliver()
 		for _, address := range w.order {
 			if !w.paused[address] {
-				w.take(address, w.nodes[address].Tick(w.now))
+				w.apply(address, w.nodes[address].Tick(w.now))
 			}
 		}
 	}
 }
 
-// deliver hands over all packets whose time has come, and their answers.
+// deliver delivers all packets that are due, and the answers to them that are due too.
 func (w *network) deliver() {
 	for {
 		i := slices.IndexFunc(w.queue, func(f flight) bool { return !f.at.After(w.now) })
@@ -120,11 +120,12 @@
 		if err != nil {
 			panic(err)
 		}
-		w.take(f.to, output)
+		w.apply(f.to, output)
 	}
 }
 
-// states gives the view of the node at address as "name:state".
+// states returns the states of all VMs in the view of the node at address, as
+// "name:state".
 func (w *network) states(address string) []string {
 	var states []string
 	for _, m := range w.nodes[address].Members() {
@@ -133,7 +134,7 @@
 	return states
 }
 
-// digest gives what the node at address holds of vm's digest.
+// digest returns the digest of vm that the node at address holds.
 func (w *network) digest(address, vm string, kind member.DigestKind) string {
 	for _, m := range w.nodes[address].Members() {
 		for _, d := range m.Digests {
--- a/internal/member/node.go
+++ b/internal/member/node.go
@@ -10,25 +10,25 @@
 	"slateway.example/slateway/internal/codec"
 )
 
-// Node is one VM's part in the membership. It is not safe for concurrent use.
+// Node implements the membership protocol for one VM. It is not safe for concurrent use.
 type Node struct {
 	config Config
 	random *rand.Rand
 	self   Record
 	peers  map[string]*peer // VMs of the own place
 	names  []string         // keys of peers, sorted
-	hash   uint64           // of the view; kept up by setRecord
+	hash   uint64           // of the peers' records; maintained by addToHash and dropFromHash
 
-	ring      []string // probe order
-	probes    []probe
-	forwards  []forward
-	seq       uint64
-	nextProbe time.Time
-	round     int
-	lastTick  time.Time
-	lastHeard time.Time
-	lastSync  time.Time
-	nextSeed  int
+	ring         []string // VMs still to be probed in this round, in order
+	probes       []probe
+	forwards     []forward
+	seq          uint64
+	nextProbe    time.Time
+	round        int
+	lastTick     time.Time
+	lastReceived time.Time
+	lastSync     time.Time
+	nextSeed     int
 
 	dirty  []dirtyRecord
 	tokens float64
@@ -39,30 +39,31 @@
 // peer is another VM of the own place.
 type peer struct {
 	record    Record
-	changedAt time.Time // of its state
+	changedAt time.Time // last change of the state
 }
 
-// New makes the node of self. Epoch is the process's start in ms since 1970;
-// each start of the same VM needs a greater one, and a smaller one, left by a
-// clock that stepped back, is corrected by the first VM that knows better.
+// New creates the node of self. The epoch is the start of the process in ms since 1970
+// and must increase with each start of a VM. If it does not, because the clock stepped
+// back, the node corrects it when it receives a record with the greater epoch.
 func New(config Config, self VM, epoch uint64, random *rand.Rand, now time.Time) *Node {
 	config = config.withDefaults()
 	return &Node{
-		config:    config,
-		random:    random,
-		self:      Record{VM: self, Epoch: epoch, Incarnation: 1, State: Alive},
-		peers:     map[string]*peer{},
-		nextProbe: now,
-		lastTick:  now,
-		lastHeard: now,
-		tokens:    float64(config.BytesPerSecond),
-		areas:     newAreaTable(),
+		config:       config,
+		random:       random,
+		self:         Record{VM: self, Epoch: epoch, Incarnation: 1, State: Alive},
+		peers:        map[string]*peer{},
+		nextProbe:    now,
+		lastTick:     now,
+		lastReceived: now,
+		tokens:       float64(config.BytesPerSecond),
+		areas:        newAreaTable(),
 	}
 }
 
-// Tick lets time pass. Call it several times a heartbeat.
+// Tick performs the work that is due at now. It must be called several times per
+// heartbeat.
 func (n *Node) Tick(now time.Time) Output {
-	n.noticePause(now)
+	n.handlePause(now)
 	n.refill(now)
 	n.lastTick = now
 	n.expireProbes(now)
@@ -75,14 +76,14 @@
 	}
 	n.tickAreas(now)
 	n.flush(now)
-	return n.take()
+	return n.takeOutput()
 }
 
-// noticePause guards against a VM that was stopped for a while, by a paused
-// process or a stalled host: on waking, all its probes look unanswered and it
-// would suspect every other VM at once. The answers never had a chance to be
-// read, so the probes are dropped and suspicions start anew.
-func (n *Node) noticePause(now time.Time) {
+// handlePause detects that this VM was stopped for a while, by a paused process or a
+// stalled host. All its probes then seem unanswered, although their answers could not be
+// read, and it would suspect every other VM at once. It drops the probes and restarts
+// the timeouts of suspicions.
+func (n *Node) handlePause(now time.Time) {
 	if now.Sub(n.lastTick) < 2*n.config.Heartbeat {
 		return
 	}
@@ -95,7 +96,7 @@
 	}
 }
 
-// Receive takes one packet of another VM.
+// Receive processes one packet from another VM.
 func (n *Node) Receive(now time.Time, data []byte) (Output, error) {
 	m, err := decode(data)
 	if err != nil {
@@ -104,22 +105,22 @@
 	if m.From == n.self.VM.Name && m.Kind != kindPush {
 		return Output{}, nil
 	}
-	n.lastHeard = now
+	n.lastReceived = now
 	n.handle(now, &m)
 	n.flush(now)
-	return n.take(), nil
+	return n.takeOutput(), nil
 }
 
 func (n *Node) handle(now time.Time, m *message) {
 	if m.Place != n.self.VM.Place {
-		n.handleFar(now, m)
+		n.handleRemote(now, m)
 		return
 	}
 	newRun := m.Kind == kindJoin && n.isNewRun(m)
 	n.mergeRecords(now, m)
 	n.mergeAreas(now, m)
 	if newRun {
-		n.mark(m.From).whole = true // the joining VM knows none but this one
+		n.mark(m.From).full = true // the joining VM has introduced itself to this one only
 	}
 	switch m.Kind {
 	case kindProbe:
@@ -127,35 +128,35 @@
 	case kindAck:
 		n.handleAck(now, m)
 	case kindProbeRequest:
-		n.probeFor(now, m)
+		n.probeOnBehalf(now, m)
 	case kindSync, kindSyncReply:
 		n.handleSync(m)
 	case kindJoin:
 		n.answerJoin(now, m)
 	case kindDirect:
-		n.event(Event{Kind: DirectReceived, VM: m.From, Digest: m.Digest, Data: m.Data})
+		n.emit(Event{Kind: DirectReceived, VM: m.From, Digest: m.Digest, Data: m.Data})
 	}
-	n.tellSuspect(m)
+	n.notifySuspect(m)
 	if m.Hash != 0 && m.Hash != n.viewHash() {
 		n.startSync(now, m)
 	}
 }
 
-// handleFar takes a message from another place: areas and direct messages.
-func (n *Node) handleFar(now time.Time, m *message) {
+// handleRemote processes a message from another place.
+func (n *Node) handleRemote(now time.Time, m *message) {
 	n.mergeAreas(now, m)
 	switch m.Kind {
 	case kindJoin:
 		n.answerJoin(now, m)
 	case kindDirect:
-		n.event(Event{Kind: DirectReceived, VM: m.From, Digest: m.Digest, Data: m.Data})
+		n.emit(Event{Kind: DirectReceived, VM: m.From, Digest: m.Digest, Data: m.Data})
 	}
 }
 
-// SetDigest replaces the VM's own digest of a kind and pushes it to its place.
+// SetDigest replaces this VM's digest of a kind and pushes it to its place.
 func (n *Node) SetDigest(now time.Time, kind DigestKind, data []byte) (Output, error) {
 	if len(data) > MaxDigestBytes {
-		return Output{}, fmt.Errorf("digest of %d bytes: at most %d are spread", len(data), MaxDigestBytes)
+		return Output{}, fmt.Errorf("digest of %d bytes is too large, the limit is %d bytes", len(data), MaxDigestBytes)
 	}
 	i := slices.IndexFunc(n.self.Digests, func(d Digest) bool { return d.Kind == kind })
 	if i >= 0 && slices.Equal(n.self.Digests[i].Data, data) {
@@ -169,53 +170,53 @@
 	n.self.Digests[i].Data = slices.Clone(data)
 	n.markDigest(kind)
 	n.flush(now)
-	return n.take(), nil
+	return n.takeOutput(), nil
 }
 
-// SetReady tells all VMs of the place that this gate can serve callers. Before,
-// no answer names it: a gate that has just started knows no upstream yet, and
-// would refuse what the other gates could serve.
+// SetReady notifies all VMs of the place that this gate can serve callers. Until then no
+// callers are sent to it: a gate that has just started knows no upstream yet and would
+// refuse requests that the other gates can serve.
 func (n *Node) SetReady(now time.Time) Output {
 	if !n.self.Ready {
 		n.self.Ready = true
-		n.markOwn()
+		n.markSelf()
 	}
 	n.flush(now)
-	return n.take()
+	return n.takeOutput()
 }
 
-// SetDraining tells all VMs of the place that this one takes no new callers.
+// SetDraining notifies all VMs of the place that this one accepts no new callers.
 func (n *Node) SetDraining(now time.Time) Output {
 	if !n.self.Draining {
 		n.self.Draining = true
-		n.markOwn()
+		n.markSelf()
 	}
 	n.flush(now)
-	return n.take()
+	return n.takeOutput()
 }
 
-// Leave tells all VMs of the place that this one is going for good.
+// Leave notifies all VMs of the place that this one leaves for good.
 func (n *Node) Leave(now time.Time) Output {
 	n.self.State = Left
 	n.self.Draining = true
-	n.markOwn()
-	n.tokens = float64(n.config.BytesPerSecond) // the last push is not held back
+	n.markSelf()
+	n.tokens = float64(n.config.BytesPerSecond) // the last push must not wait for the rate limit
 	n.flush(now)
-	return n.take()
+	return n.takeOutput()
 }
 
-// Direct sends data to one VM at once. The VM is of the own place or a contact
-// of another one.
+// Direct sends data to one VM immediately. The VM must be in the own place or a contact
+// of another place.
 func (n *Node) Direct(now time.Time, vm string, kind DigestKind, data []byte) (Output, error) {
 	if len(data) > MaxDigestBytes {
-		return Output{}, fmt.Errorf("direct message of %d bytes: at most %d are sent", len(data), MaxDigestBytes)
+		return Output{}, fmt.Errorf("direct message of %d bytes is too large, the limit is %d bytes", len(data), MaxDigestBytes)
 	}
 	address := n.addressOf(vm)
 	if address == "" {
-		return Output{}, fmt.Errorf("direct message to %s: no such VM known", vm)
+		return Output{}, fmt.Errorf("cannot send direct message to VM %s: its address is not known", vm)
 	}
 	n.send(address, &message{Kind: kindDirect, Digest: kind, Data: data})
-	return n.take(), nil
+	return n.takeOutput(), nil
 }
 
 func (n *Node) addressOf(vm string) string {
@@ -225,7 +226,7 @@
 	return n.areas.contactAddress(vm)
 }
 
-// Members lists the VMs of the own place by name, this one included.
+// Members returns the VMs of the own place, including this one, sorted by name.
 func (n *Node) Members() []Member {
 	members := []Member{{Record: n.self, Self: true}}
 	for _, name := range n.names {
@@ -235,23 +236,24 @@
 	return members
 }
 
-// Alone reports whether the VM should hear others and has not for so long that
-// its network, not theirs, is the likely cause. A VM that knows of no other
-// and has no seeds but itself is a site of one VM and never alone.
-func (n *Node) Alone(now time.Time) bool {
-	return n.expectsOthers() && now.Sub(n.lastHeard) > n.silenceLimit()
+// Isolated reports whether the VM has received nothing from other VMs for so long that
+// its own network is the likely cause. A VM that knows no other and has no other seed is
+// a site of one VM and never isolated.
+func (n *Node) Isolated(now time.Time) bool {
+	return n.expectsPeers() && now.Sub(n.lastReceived) > n.isolationTimeout()
 }
 
-func (n *Node) expectsOthers() bool {
+func (n *Node) expectsPeers() bool {
 	if len(n.names) > 0 || len(n.areas.list) > 0 {
 		return true
 	}
 	return slices.ContainsFunc(n.config.Seeds, func(seed string) bool { return seed != n.self.VM.Peers })
 }
 
-// silenceLimit is how long no packet may come while all is well: VMs of the
-// place probe every heartbeat, other places send at their keepalive.
-func (n *Node) silenceLimit() time.Duration {
+// isolationTimeout returns the longest time between two received packets in normal
+// operation. VMs of the place probe with every heartbeat; other places send at the
+// keepalive interval.
+func (n *Node) isolationTimeout() time.Duration {
 	limit := n.config.SuspectAfter + n.config.LostAfter
 	if slices.ContainsFunc(n.names, func(name string) bool { return n.peers[name].record.State < Left }) {
 		return limit
@@ -263,7 +265,7 @@
 	return max(limit, staleFactor*keepaliveFactor*n.config.FarInterval)
 }
 
-// send encodes m for address and takes its bytes from the budget.
+// send queues m for address and takes its bytes from the rate limit.
 func (n *Node) send(address string, m *message) {
 	if address == "" || address == n.self.VM.Peers {
 		return
@@ -275,17 +277,17 @@
 	n.output.Packets = append(n.output.Packets, Packet{To: address, Data: data})
 }
 
-// refill adds the bytes of the time since the last tick; at most one second's
-// worth is saved up or owed.
+// refill adds the bytes for the time since the last tick to the rate limit. At most one
+// second's worth accumulates, as credit or as debt.
 func (n *Node) refill(now time.Time) {
 	rate := float64(n.config.BytesPerSecond)
 	n.tokens += rate * now.Sub(n.lastTick).Seconds()
 	n.tokens = max(min(n.tokens, rate), -rate)
 }
 
-func (n *Node) event(e Event) { n.output.Events = append(n.output.Events, e) }
+func (n *Node) emit(e Event) { n.output.Events = append(n.output.Events, e) }
 
-func (n *Node) take() Output {
+func (n *Node) takeOutput() Output {
 	output := n.output
 	n.output = Output{}
 	return output
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// probe is a question whose answer is awaited.
+// probe is a probe that has not been answered yet.
 type probe struct {
 	seq      uint64
 	target   string
 	sentAt   time.Time
-	indirect bool // others have been asked to probe too
+	indirect bool // other VMs have been asked to probe the target too
 }
 
-// forward is a probe made on behalf of another VM.
+// forward is a probe sent on behalf of another VM.
 type forward struct {
-	seq       uint64 // own
-	theirSeq  uint64
-	requester string // peers address
-	sentAt    time.Time
+	seq          uint64 // of this VM's probe
+	requesterSeq uint64 // of the requester's probe
+	requester    string // peers address
+	sentAt       time.Time
 }
 
-// probeNext probes the next VM of the ring. The ring is a shuffled list of all
-// VMs that is worked off before it is shuffled again, so each VM is probed
-// within a bounded number of heartbeats.
+// probeNext probes the next VM of the ring. The ring is a shuffled list of all VMs, which
+// is shuffled again only after all of them were probed. This bounds the number of
+// heartbeats between two probes of a VM.
 func (n *Node) probeNext(now time.Time) {
 	for range len(n.names) + 1 {
 		if len(n.ring) == 0 {
@@ -35,7 +35,7 @@
 		name := n.ring[0]
 		n.ring = n.ring[1:]
 		p := n.peers[name]
-		if p == nil || p.record.State >= Lost || n.awaits(name) {
+		if p == nil || p.record.State >= Lost || n.hasProbe(name) {
 			continue
 		}
 		n.probes = append(n.probes, probe{seq: n.nextSeq(), target: name, sentAt: now})
@@ -49,7 +49,7 @@
 	n.random.Shuffle(len(n.ring), func(i, j int) { n.ring[i], n.ring[j] = n.ring[j], n.ring[i] })
 }
 
-func (n *Node) awaits(name string) bool {
+func (n *Node) hasProbe(name string) bool {
 	return slices.ContainsFunc(n.probes, func(p probe) bool { return p.target == name })
 }
 
@@ -58,9 +58,9 @@
 	return n.seq
 }
 
-// expireProbes asks others after one heartbeat without an answer and suspects
-// the target when the indirect probes stay unanswered too: a single bad path
-// between two VMs is not the loss of either.
+// expireProbes starts indirect probes after one heartbeat without an answer, and suspects
+// the target if these remain unanswered too. A single bad path between two VMs must not
+// count as the loss of either.
 func (n *Node) expireProbes(now time.Time) {
 	var waiting []probe
 	for _, p := range n.probes {
@@ -71,7 +71,7 @@
 		}
 		if age >= n.config.Heartbeat && !p.indirect {
 			p.indirect = true
-			n.askOthers(p)
+			n.probeIndirectly(p)
 		}
 		waiting = append(waiting, p)
 	}
@@ -79,20 +79,20 @@
 	n.forwards = slices.DeleteFunc(n.forwards, func(f forward) bool { return now.Sub(f.sentAt) >= n.config.SuspectAfter })
 }
 
-func (n *Node) askOthers(p probe) {
+func (n *Node) probeIndirectly(p probe) {
 	target := n.peers[p.target]
 	if target == nil {
 		return
 	}
-	// The direct probe is repeated as well: a lost packet is the usual cause.
+	// Repeats the direct probe as well, since a lost packet is the usual cause.
 	n.send(target.record.VM.Peers, &message{Kind: kindProbe, Seq: p.seq})
-	for _, name := range n.someAlive(indirectProbers, p.target) {
+	for _, name := range n.sampleAlive(indirectProbers, p.target) {
 		n.send(n.peers[name].record.VM.Peers, &message{Kind: kindProbeRequest, Seq: p.seq, Target: p.target, Reply: n.self.VM.Peers})
 	}
 }
 
-// someAlive picks up to count alive VMs other than except.
-func (n *Node) someAlive(count int, except string) []string {
+// sampleAlive returns up to count random alive VMs other than except.
+func (n *Node) sampleAlive(count int, except string) []string {
 	var alive []string
 	for _, name := range n.names {
 		if name != except && n.peers[name].record.State == Alive {
@@ -104,18 +104,18 @@
 }
 
 func (n *Node) answerProbe(m *message) {
-	// A sender that is not known yet has joined elsewhere; its record comes by sync.
+	// An unknown sender has joined through another VM; a sync will bring its record.
 	if sender := n.peers[m.From]; sender != nil {
 		n.send(sender.record.VM.Peers, &message{Kind: kindAck, Seq: m.Seq, Target: n.self.VM.Name, Hash: n.viewHash()})
 	}
 }
 
-func (n *Node) probeFor(now time.Time, m *message) {
+func (n *Node) probeOnBehalf(now time.Time, m *message) {
 	target := n.peers[m.Target]
 	if target == nil || m.Reply == "" {
 		return
 	}
-	n.forwards = append(n.forwards, forward{seq: n.nextSeq(), theirSeq: m.Seq, requester: m.Reply, sentAt: now})
+	n.forwards = append(n.forwards, forward{seq: n.nextSeq(), requesterSeq: m.Seq, requester: m.Reply, sentAt: now})
 	n.send(target.record.VM.Peers, &message{Kind: kindProbe, Seq: n.seq})
 }
 
@@ -124,7 +124,7 @@
 	if i >= 0 {
 		f := n.forwards[i]
 		n.forwards = slices.Delete(n.forwards, i, i+1)
-		n.send(f.requester, &message{Kind: kindAck, Seq: f.theirSeq, Target: m.Target})
+		n.send(f.requester, &message{Kind: kindAck, Seq: f.requesterSeq, Target: m.Target})
 		return
 	}
 	n.probes = slices.DeleteFunc(n.probes, func(p probe) bool { return p.seq == m.Seq && p.target == m.Target })
@@ -138,7 +138,8 @@
 	n.setState(now, p, Suspect)
 }
 
-// expireStates turns long suspicions into losses and forgets old losses.
+// expireStates marks VMs that were suspected for too long as lost, and removes VMs that
+// were lost or left long ago.
 func (n *Node) expireStates(now time.Time) {
 	for _, name := range slices.Clone(n.names) {
 		p := n.peers[name]
@@ -152,31 +153,31 @@
 	}
 }
 
-// tellSuspect lets a VM that still sends know that it is held for suspect or
+// notifySuspect sends a VM that still sends packets its record if it is suspected or
 // lost, so that it refutes at once.
-func (n *Node) tellSuspect(m *message) {
+func (n *Node) notifySuspect(m *message) {
 	p := n.peers[m.From]
 	if p == nil || p.record.State == Alive || p.record.State == Left || m.Kind == kindPush {
 		return
 	}
-	n.tell(&p.record)
+	n.sendRecord(&p.record)
 }
 
-// tell sends a VM the record that is held of it.
-func (n *Node) tell(record *Record) {
+// sendRecord sends a VM this node's record of it.
+func (n *Node) sendRecord(record *Record) {
 	bare := *record
 	bare.Digests = nil
 	n.send(record.VM.Peers, &message{Kind: kindPush, Records: []Record{bare}})
 }
 
-// reconnect sends a join to a seed or to a lost VM now and then. It heals
-// partitions that outlast the suspicion: both sides hold the other for lost
-// and would never speak to it again.
+// reconnect periodically sends a join to a seed and to a lost VM. It heals partitions
+// that last longer than a suspicion: each side considers the other lost and would never
+// send to it again.
 func (n *Node) reconnect(now time.Time) {
 	if n.round > joinRounds && n.round%reconnectRounds != 0 {
 		return
 	}
-	if seed := n.pickSeed(); seed != "" && n.seeksSeeds(now) {
+	if seed := n.pickSeed(); seed != "" && n.shouldContactSeeds(now) {
 		n.join(now, seed, nil)
 	}
 	var lost []string
@@ -191,10 +192,10 @@
 	}
 }
 
-// seeksSeeds reports whether this VM should try a seed: at its start, while it is
-// cut off, and as its place's delegate. If all VMs did for good, the few seeds
-// would spend most of their traffic on joins: 59 KB/s of 67 at 418 VMs.
-func (n *Node) seeksSeeds(now time.Time) bool {
+// shouldContactSeeds reports whether this VM should contact a seed: after its start, while
+// it is cut off, and as its place's delegate. If all VMs did so permanently, joins would
+// be most of the traffic of the few seeds: 59 of 67 KB/s with 418 VMs.
+func (n *Node) shouldContactSeeds(now time.Time) bool {
 	if n.round <= joinRounds || n.isDelegate() {
 		return true
 	}
@@ -202,7 +203,8 @@
 	return !hasPeers && len(n.areas.freshPlaces(now, n)) == 0
 }
 
-// pickSeed gives the next seed that is not an alive VM of the place.
+// pickSeed returns the next seed that is not an alive VM of the place, or "" if there is
+// none.
 func (n *Node) pickSeed() string {
 	for range n.config.Seeds {
 		seed := n.config.Seeds[n.nextSeed%len(n.config.Seeds)]
@@ -218,14 +220,14 @@
 	return ""
 }
 
-// join introduces this VM to the one at address. If that is held for lost, its
-// record goes along, so that its answer already refutes the loss.
-func (n *Node) join(now time.Time, address string, held *Record) {
+// join introduces this VM to the one at address. If that VM is considered lost, lost is
+// its record and is sent along, so that its answer already refutes the loss.
+func (n *Node) join(now time.Time, address string, lost *Record) {
 	own := n.self
-	own.Digests = nil // they follow by a sync, if the VM is of this place
+	own.Digests = nil // a sync brings them if the VM is in this place
 	m := &message{Kind: kindJoin, Reply: n.self.VM.Peers, Records: []Record{own}, Places: n.areas.freshPlaces(now, n)}
-	if held != nil {
-		bare := *held
+	if lost != nil {
+		bare := *lost
 		bare.Digests = nil
 		m.Records = append(m.Records, bare)
 	}
@@ -235,8 +237,8 @@
 	n.send(address, m)
 }
 
-// answerJoin gives a joining VM of the place all records, and any VM the areas
-// of the places that it does not know.
+// answerJoin sends a joining VM of the own place all records, and any joining VM the
+// areas of the places that it does not know.
 func (n *Node) answerJoin(now time.Time, m *message) {
 	if m.Place == n.self.VM.Place {
 		n.pushTo(m.Reply, n.allRecords())
--- a/internal/member/publish.go
+++ b/internal/member/publish.go
@@ -5,29 +5,31 @@
 	"time"
 )
 
-// publication is the state of publishing to the places of one kind, near or far.
+// publication is the state of publishing the own area to near places, which are in the
+// same region, or to far places.
 type publication struct {
-	sentAt time.Time
-	last   Area // as last sent, whole
-	count  int
-	heads  int // how often the head is still to be sent
+	sentAt        time.Time
+	last          Area // full area at the last publication
+	count         int
+	headerRepeats int // remaining full publications after a change of the header
 }
 
 const (
-	// wholeEvery is how many publications there are for each whole one.
-	wholeEvery = 10
-	// headRepeats is how often an area is sent whole after its head changed: a lost packet must not
-	// leave a draining gate in the answers of other places until the next
-	// whole publication.
-	headRepeats = 3
+	// publicationsPerFull is the number of publications of which one carries the full
+	// area.
+	publicationsPerFull = 10
+	// maxHeaderRepeats is how often the full area is sent after its header changed. A lost
+	// packet must not leave a draining gate in the answers of other places until the next
+	// regular full publication.
+	maxHeaderRepeats = 3
 )
 
-// sameHead compares all but the sums.
-func (a *Area) sameHead(b *Area) bool {
+// sameHeader reports whether all fields but the sums are equal.
+func (a *Area) sameHeader(b *Area) bool {
 	return a.VMs == b.VMs && a.Gates == b.Gates && slices.Equal(a.Contacts, b.Contacts) && slices.Equal(a.Entries, b.Entries)
 }
 
-// changedSince keeps only the sums that differ from those in last.
+// changedSince returns a partial area with the sums that differ from those in last.
 func (a Area) changedSince(last *Area) Area {
 	a.Sums = slices.DeleteFunc(slices.Clone(a.Sums), func(sum Digest) bool {
 		return slices.ContainsFunc(last.Sums, func(d Digest) bool { return d.Kind == sum.Kind && d.Version == sum.Version })
@@ -37,8 +39,8 @@
 	return a
 }
 
-// with gives a, known before, brought up to date by the newer area.
-func (a Area) with(newer Area) Area {
+// updatedBy returns a updated by a newer, possibly partial area.
+func (a Area) updatedBy(newer Area) Area {
 	sums := slices.Clone(a.Sums)
 	for _, sum := range newer.Sums {
 		sums = slices.DeleteFunc(sums, func(d Digest) bool { return d.Kind == sum.Kind })
@@ -53,7 +55,8 @@
 	return newer
 }
 
-// forRegion leaves out the sums that stay within the area's own region.
+// forRegion returns the area as it is sent to a region: sums that stay within the area's
+// own region are left out for other regions.
 func (a Area) forRegion(region string) Area {
 	if region == a.Region {
 		return a
@@ -62,22 +65,23 @@
 	return a
 }
 
-// tickAreas publishes the own area to other places and hands theirs down.
+// tickAreas publishes the own area to other places and distributes theirs to the VMs of
+// the own place.
 func (n *Node) tickAreas(now time.Time) {
 	n.forgetAreas(now)
 	if n.self.State != Alive || !n.isDelegate() {
 		return
 	}
-	if now.Sub(n.areas.handedDown) >= n.config.NearInterval/2 {
-		n.areas.handedDown = now
-		n.handDown(n.takeNews())
+	if now.Sub(n.areas.distributedAt) >= n.config.NearInterval/2 {
+		n.areas.distributedAt = now
+		n.sendDownTree(n.takePending())
 	}
 	n.tickPublication(now, &n.areas.near, true)
 	n.tickPublication(now, &n.areas.far, false)
 }
 
-// tickPublication publishes if it is time: after an interval if something
-// changed since the last time, after the keepalive otherwise.
+// tickPublication publishes the own area if that is due: after an interval if something
+// has changed since the last publication, otherwise after the keepalive interval.
 func (n *Node) tickPublication(now time.Time, p *publication, near bool) {
 	interval := n.config.FarInterval
 	if near {
@@ -86,37 +90,37 @@
 	if now.Sub(p.sentAt) < min(interval, n.config.Heartbeat) {
 		return
 	}
-	whole := n.ownArea(now)
+	full := n.ownArea(now)
 	if !near {
-		whole = whole.forRegion("")
+		full = full.forRegion("")
 	}
-	changed := !whole.sameHead(&p.last)
+	changed := !full.sameHeader(&p.last)
 	if now.Sub(p.sentAt) < interval && !(near && changed) {
-		return // a draining gate is told to the region at once, all else at the pace
+		return // a changed header, as by a draining gate, is sent within the region at once
 	}
 	if changed {
-		p.heads = headRepeats
+		p.headerRepeats = maxHeaderRepeats
 	}
-	area := whole.changedSince(&p.last)
-	unchanged := p.heads == 0 && len(area.Sums) == 0
+	area := full.changedSince(&p.last)
+	unchanged := p.headerRepeats == 0 && len(area.Sums) == 0
 	if unchanged && now.Sub(p.sentAt) < keepaliveFactor*interval {
 		return
 	}
-	// Whoever does not know this publisher yet can use a whole area only, so a
-	// changed head never goes without the sums.
-	if p.heads > 0 || p.count%wholeEvery == 0 {
-		area = whole
+	// A receiver that does not know this publisher yet can use a full area only, so a
+	// changed header is never sent without the sums.
+	if p.headerRepeats > 0 || p.count%publicationsPerFull == 0 {
+		area = full
 	}
-	p.sentAt, p.last = now, whole
+	p.sentAt, p.last = now, full
 	p.count++
-	p.heads = max(0, p.heads-1)
+	p.headerRepeats = max(0, p.headerRepeats-1)
 	n.areas.version = max(n.areas.version+1, uint64(now.UnixMilli()))
 	area.Version = n.areas.version
 	n.publish(area, near, p.count)
 }
 
-// publish sends the own area to one contact of each other place, near or far.
-// Contacts take turns, so that a lost one does not cut its place off.
+// publish sends the own area to one contact of each other near or far place. It rotates
+// among the contacts, so that a lost one does not cut its place off.
 func (n *Node) publish(area Area, near bool, turn int) {
 	for _, entry := range n.areas.list {
 		isNear := entry.area.Region == n.self.VM.Region
@@ -134,25 +138,25 @@
 	}
 }
 
-// passOn moves areas along: from another place to the own delegate, from the
-// parent in the tree to the children at once. The delegate itself gathers them
-// for its next turn.
-func (n *Node) passOn(m *message, news []Area) {
+// forwardAreas forwards areas from another place to the delegate, and areas from the
+// parent in the tree to the children. The delegate itself collects areas and distributes
+// them periodically.
+func (n *Node) forwardAreas(m *message, updates []Area) {
 	ranked := n.ranked()
 	if len(ranked) == 0 || ranked[0] == n.self.VM.Name {
 		return
 	}
 	if m.Place != n.self.VM.Place {
-		n.sendAreas(n.addressOf(ranked[0]), news)
+		n.sendAreas(n.addressOf(ranked[0]), updates)
 		return
 	}
-	n.handDown(news)
+	n.sendDownTree(updates)
 }
 
-// handDown sends areas to the VM's two children in the tree. While an inner VM
-// of the tree is lost and not yet suspected, those below it miss one or two
-// turns; the next publication of each area reaches them.
-func (n *Node) handDown(areas []Area) {
+// sendDownTree sends areas to this VM's two children in the tree. While an inner VM of the
+// tree is lost but not yet suspected, the VMs below it miss one or two distributions. The
+// next publication of each area reaches them.
+func (n *Node) sendDownTree(areas []Area) {
 	if len(areas) == 0 {
 		return
 	}
@@ -166,12 +170,12 @@
 	}
 }
 
-func (n *Node) takeNews() []Area {
+func (n *Node) takePending() []Area {
 	var areas []Area
 	for _, entry := range n.areas.list {
-		if entry.news != nil {
-			areas = append(areas, *entry.news)
-			entry.news = nil
+		if entry.pending != nil {
+			areas = append(areas, *entry.pending)
+			entry.pending = nil
 		}
 	}
 	return areas
--- a/internal/member/spread.go
+++ b/internal/member/push.go
@@ -7,21 +7,21 @@
 	"slateway.example/slateway/internal/codec"
 )
 
-// dirtyRecord is a change that the VMs of the place have not been sent yet.
+// dirtyRecord is a record with changes that have not been pushed to the place yet.
 type dirtyRecord struct {
-	name   string
-	whole  bool         // identity and all digests
-	digest []DigestKind // these digests only
+	name    string
+	full    bool         // push the identity and all digests
+	digests []DigestKind // otherwise push only these digests
 }
 
-func (n *Node) markOwn() { n.mark(n.self.VM.Name).whole = true }
+func (n *Node) markSelf() { n.mark(n.self.VM.Name).full = true }
 
 func (n *Node) markState(name string) { n.mark(name) }
 
 func (n *Node) markDigest(kind DigestKind) {
 	d := n.mark(n.self.VM.Name)
-	if !slices.Contains(d.digest, kind) {
-		d.digest = append(d.digest, kind)
+	if !slices.Contains(d.digests, kind) {
+		d.digests = append(d.digests, kind)
 	}
 }
 
@@ -34,8 +34,8 @@
 	return &n.dirty[i]
 }
 
-// flush pushes changes to all VMs of the place that are not lost. While the
-// budget is spent changes gather, and a digest that changed twice is sent once.
+// flush pushes changes to all VMs of the place that are not lost. While the rate limit is
+// exceeded, changes accumulate, and a digest that changes twice is sent once.
 func (n *Node) flush(now time.Time) {
 	if len(n.dirty) == 0 || n.tokens <= 0 {
 		return
@@ -63,7 +63,7 @@
 		}
 		if p := n.peers[d.name]; p != nil {
 			record := p.record
-			if !d.whole {
+			if !d.full {
 				record.VM = VM{Name: d.name}
 				record.Digests = nil
 			}
@@ -74,21 +74,21 @@
 }
 
 func (n *Node) ownRecord(d dirtyRecord) Record {
-	if d.whole {
+	if d.full {
 		return n.self
 	}
 	record := n.self
-	record.VM = VM{} // the sender's own; its name is in the message already
+	record.VM = VM{} // the message contains the sender's name already
 	record.Digests = nil
 	for _, digest := range n.self.Digests {
-		if slices.Contains(d.digest, digest.Kind) {
+		if slices.Contains(d.digests, digest.Kind) {
 			record.Digests = append(record.Digests, digest)
 		}
 	}
 	return record
 }
 
-// allRecords lists what is known of each VM that is not lost, this one first.
+// allRecords returns the records of all VMs that are not lost, this VM's first.
 func (n *Node) allRecords() []Record {
 	records := []Record{n.self}
 	for _, name := range n.names {
@@ -105,10 +105,10 @@
 	}
 }
 
-// envelopeBytes is room for a message around its records or areas.
+// envelopeBytes is reserved in a packet for the fields other than records or areas.
 const envelopeBytes = 100
 
-// split groups records so that each group fits a packet.
+// split groups records so that each group fits into one packet.
 func (n *Node) split(records []Record) [][]Record {
 	return splitBySize(records, n.config.PacketBytes-envelopeBytes)
 }
@@ -132,7 +132,7 @@
 	return groups
 }
 
-// startSync compares views with the sender of m, at most once a heartbeat.
+// startSync starts to compare views with the sender of m, at most once per heartbeat.
 func (n *Node) startSync(now time.Time, m *message) {
 	p := n.peers[m.From]
 	if p == nil || now.Sub(n.lastSync) < n.config.Heartbeat {
@@ -150,8 +150,8 @@
 	return versions
 }
 
-// handleSync pushes what the sender lacks and, if it asked first, tells what
-// this VM has, so that the sender does the same.
+// handleSync pushes the records that the sender lacks. If the sender started the sync, it
+// also sends the versions of this VM's records, so that the sender does the same.
 func (n *Node) handleSync(m *message) {
 	if m.Reply == "" {
 		return
@@ -161,11 +161,11 @@
 		theirs[version.Name] = version
 	}
 	var missing []Record
-	if n.lacks(theirs, &n.self) {
+	if n.isMissing(theirs, &n.self) {
 		missing = append(missing, n.self)
 	}
 	for _, name := range n.names {
-		if record := &n.peers[name].record; n.lacks(theirs, record) {
+		if record := &n.peers[name].record; n.isMissing(theirs, record) {
 			missing = append(missing, *record)
 		}
 	}
@@ -175,7 +175,7 @@
 	}
 }
 
-func (n *Node) lacks(theirs map[string]recordVersion, record *Record) bool {
+func (n *Node) isMissing(theirs map[string]recordVersion, record *Record) bool {
 	version, known := theirs[record.VM.Name]
 	if !known {
 		return record.State < Lost
