--- a/internal/fleet/events.go
+++ b/internal/fleet/events.go
@@ -6,7 +6,8 @@
 	"slateway.example/slateway/internal/member"
 )
 
-// handlers are called one at a time, in the order of events, without a lock.
+// handlers holds the registered event handlers. They are called one at a time, in the
+// order of the events, without a lock held.
 type handlers struct {
 	digests map[member.DigestKind]func(vm string, data []byte)
 	sums    map[member.DigestKind]func(place, publisher string, data []byte)
@@ -14,7 +15,7 @@
 	states  []func(vm string, state member.State)
 }
 
-// OnDigest registers fn for digests of a kind from VMs of the own place.
+// OnDigest registers fn for digests of a kind from other VMs of the own place.
 func (f *Fleet) OnDigest(kind member.DigestKind, fn func(vm string, data []byte)) {
 	if f.handlers.digests == nil {
 		f.handlers.digests = map[member.DigestKind]func(string, []byte){}
@@ -38,7 +39,7 @@
 	f.handlers.directs[kind] = fn
 }
 
-// OnState adds fn to those told of each change of a VM's state or draining.
+// OnState adds fn to the handlers of changes of a VM's state, readiness or draining.
 func (f *Fleet) OnState(fn func(vm string, state member.State)) {
 	f.handlers.states = append(f.handlers.states, fn)
 }
@@ -74,18 +75,18 @@
 	}
 }
 
-// eventQueue hands events from the decision to the dispatcher, so that a
-// handler may call the Fleet again and a slow one does not hold up probes.
+// eventQueue passes events from the node to the dispatcher. It allows handlers to call the
+// Fleet, and prevents a slow handler from delaying probes.
 type eventQueue struct {
-	mu     *sync.Mutex
-	wake   *sync.Cond
-	events []member.Event
-	closed bool
+	mu      *sync.Mutex
+	changed *sync.Cond
+	events  []member.Event
+	closed  bool
 }
 
 func newEventQueue() eventQueue {
 	mu := &sync.Mutex{}
-	return eventQueue{mu: mu, wake: sync.NewCond(mu)}
+	return eventQueue{mu: mu, changed: sync.NewCond(mu)}
 }
 
 func (q *eventQueue) add(events []member.Event) {
@@ -95,14 +96,14 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.events = append(q.events, events...)
-	q.wake.Signal()
+	q.changed.Signal()
 }
 
 func (q *eventQueue) next() (member.Event, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for len(q.events) == 0 && !q.closed {
-		q.wake.Wait()
+		q.changed.Wait()
 	}
 	if q.closed {
 		return member.Event{}, false
@@ -116,5 +117,5 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.closed = true
-	q.wake.Broadcast()
+	q.changed.Broadcast()
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,8 +1,9 @@
-// Package fleet runs the membership decision of this VM: it owns the socket,
-// the clock and the lock, and hands events to those who asked for them.
+// Package fleet runs the membership node of this VM. It provides the socket, the clock and
+// the locking, and dispatches events to registered handlers.
 //
-// Small packets go by UDP to the peers addresses; those above one datagram, such
-// as a full view for a joining VM, go as calls over TCP to the same address.
+// Small packets are sent by UDP to the peers addresses. Packets that do not fit a
+// datagram, such as a full view for a joining VM, are sent as calls over TCP to the same
+// address.
 package fleet
 
 import (
@@ -32,39 +33,40 @@
 	sendFailed = "member.send_failed"
 )
 
-// maxDatagram is the largest packet sent by UDP; it fits an Ethernet frame.
+// maxDatagram is the size of the largest packet that is sent by UDP. It fits into an
+// Ethernet frame.
 const maxDatagram = 1400
 
-// udpOverhead is counted for each datagram: IP and UDP headers.
+// udpOverhead is the size of the IP and UDP headers, counted for each datagram.
 const udpOverhead = 28
 
-// ticksPerHeartbeat is how finely the decision sees time.
+// ticksPerHeartbeat is the number of ticks of the node per heartbeat.
 const ticksPerHeartbeat = 5
 
-// maxCallBytes bounds a packet that comes as a call.
+// maxCallBytes bounds a packet that is received as a call.
 const maxCallBytes = 4 << 20
 
-// Large carries a packet that does not fit a datagram.
-type Large struct {
+// LargePacket carries a packet that does not fit a datagram.
+type LargePacket struct {
 	Data []byte `cbor:"1,keyasint"`
 }
 
-// Done is the empty answer to a Large.
-type Done struct{}
+// Ack acknowledges a LargePacket.
+type Ack struct{}
 
-const deliver rpc.Procedure[Large, Done] = "/slateway.member/deliver"
+const deliver rpc.Procedure[LargePacket, Ack] = "/slateway.member/deliver"
 
-// Options are what a Fleet needs.
+// Options configures a Fleet.
 type Options struct {
 	Member  member.Config
 	VM      member.VM
-	Listen  string // peers address to listen on; the VM's own if empty
+	Listen  string // peers address to listen on; the VM's peers address if empty
 	Client  *rpc.Client
 	Metrics *telemetry.Metrics
 	Log     *zap.Logger
 }
 
-// Fleet is the membership of one VM. It is safe for concurrent use.
+// Fleet runs the membership of one VM. It is safe for concurrent use.
 type Fleet struct {
 	options Options
 	socket  *net.UDPConn
@@ -80,7 +82,7 @@
 	done sync.WaitGroup
 }
 
-// New opens the socket. Register handlers, then call Start.
+// New creates a Fleet and opens its socket. Handlers must be registered before Start.
 func New(options Options) (*Fleet, error) {
 	listen := options.Listen
 	if listen == "" {
@@ -88,11 +90,11 @@
 	}
 	address, err := netip.ParseAddrPort(listen)
 	if err != nil {
-		return nil, fmt.Errorf("peers address %q: %w", listen, err)
+		return nil, fmt.Errorf("peers address %q is not of the form IP:port: %w", listen, err)
 	}
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	if err != nil {
-		return nil, fmt.Errorf("listen for members on %s; free the UDP port or change listen.peers: %w", listen, err)
+		return nil, fmt.Errorf("cannot listen for members on UDP %s; free the port or change listen.peers: %w", listen, err)
 	}
 	if options.Member.Heartbeat == 0 {
 		options.Member.Heartbeat = member.DefaultHeartbeat
@@ -108,15 +110,15 @@
 	}, nil
 }
 
-// Handle mounts the call that takes large packets.
+// Handle registers the procedure that receives large packets.
 func (f *Fleet) Handle(mux *http.ServeMux) {
-	rpc.Handle(mux, deliver, maxCallBytes, func(_ context.Context, large *Large) (*Done, error) {
+	rpc.Handle(mux, deliver, maxCallBytes, func(_ context.Context, large *LargePacket) (*Ack, error) {
 		f.receive(large.Data, 0)
-		return &Done{}, nil
+		return &Ack{}, nil
 	})
 }
 
-// Start begins to join, probe and answer.
+// Start starts to join, probe and answer.
 func (f *Fleet) Start() {
 	ctx, stop := context.WithCancel(context.Background())
 	f.stop = stop
@@ -126,7 +128,7 @@
 	f.done.Go(f.dispatchLoop)
 }
 
-// Close stops without telling anyone; Leave does that.
+// Close stops the membership without notifying other VMs. Leave notifies them.
 func (f *Fleet) Close() {
 	_ = f.socket.Close() // ends receiveLoop; nothing is buffered
 	if f.stop != nil {
@@ -136,76 +138,76 @@
 	f.done.Wait()
 }
 
-// Members lists the VMs of the own place by name, this one included.
+// Members returns the VMs of the own place, including this one, sorted by name.
 func (f *Fleet) Members() []member.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.node.Members()
 }
 
-// Areas lists what is known of other places.
+// Areas returns the areas of other places.
 func (f *Fleet) Areas() []member.PlaceArea {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.node.Areas(time.Now())
 }
 
-// Alone reports whether this VM is probably cut off from all others.
+// Isolated reports whether this VM is probably cut off from all others.
 func (f *Fleet) Alone() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.node.Isolated(time.Now())
 }
 
-// SetDigest spreads the VM's own digest of a kind within its place.
+// SetDigest sets this VM's digest of a kind and pushes it to its place.
 func (f *Fleet) SetDigest(kind member.DigestKind, data []byte) error {
 	f.mu.Lock()
 	output, err := f.node.SetDigest(time.Now(), kind, data)
 	f.mu.Unlock()
-	f.carryOut(output)
+	f.applyOutput(output)
 	return err
 }
 
-// SetSum sets the place's sum of a kind; if this VM is the place's delegate it
-// travels to the other places.
+// SetSum sets the place's sum of a kind. If this VM is the place's delegate, the sum is
+// published to the other places.
 func (f *Fleet) SetSum(kind member.DigestKind, data []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.node.SetSum(kind, data)
 }
 
-// Send sends one direct message. It may be lost; the receiver is a VM of the
-// own place or a contact of another.
+// Send sends one direct message, which may be lost. The receiver must be a VM of the own
+// place or a contact of another place.
 func (f *Fleet) Send(vm string, kind member.DigestKind, data []byte) error {
 	f.mu.Lock()
 	output, err := f.node.Direct(time.Now(), vm, kind, data)
 	f.mu.Unlock()
-	f.carryOut(output)
+	f.applyOutput(output)
 	return err
 }
 
-// SetReady tells the place that this gate can serve callers.
+// SetReady notifies the place that this gate can serve callers.
 func (f *Fleet) SetReady() {
 	f.mu.Lock()
 	output := f.node.SetReady(time.Now())
 	f.mu.Unlock()
-	f.carryOut(output)
+	f.applyOutput(output)
 }
 
-// SetDraining tells the place that this VM takes no new callers.
+// SetDraining notifies the place that this VM accepts no new callers.
 func (f *Fleet) SetDraining() {
 	f.mu.Lock()
 	output := f.node.SetDraining(time.Now())
 	f.mu.Unlock()
-	f.carryOut(output)
+	f.applyOutput(output)
 }
 
-// Leave tells the place that this VM is going for good.
+// Leave notifies the place that this VM leaves for good.
 func (f *Fleet) Leave() {
 	f.mu.Lock()
 	output := f.node.Leave(time.Now())
 	f.mu.Unlock()
-	f.carryOut(output)
+	f.applyOutput(output)
 }
 
 func (f *Fleet) tickLoop(ctx context.Context) {
@@ -219,7 +221,7 @@
 			f.mu.Lock()
 			output := f.node.Tick(time.Now())
 			f.mu.Unlock()
-			f.carryOut(output)
+			f.applyOutput(output)
 		}
 	}
 }
@@ -229,7 +231,7 @@
 	for {
 		size, _, err := f.socket.ReadFromUDPAddrPort(buffer)
 		if err != nil {
-			return // the socket is closed: a UDP socket has no other lasting error
+			return // the socket is closed; a UDP socket has no other permanent error
 		}
 		f.receive(append([]byte(nil), buffer[:size]...), udpOverhead)
 	}
@@ -243,13 +245,13 @@
 	f.mu.Unlock()
 	if err != nil {
 		f.options.Metrics.Count(badPackets)
-		f.options.Log.Debug("packet dropped", zap.Error(err))
+		f.options.Log.Debug("membership packet dropped", zap.Error(err))
 		return
 	}
-	f.carryOut(output)
+	f.applyOutput(output)
 }
 
-func (f *Fleet) carryOut(output member.Output) {
+func (f *Fleet) applyOutput(output member.Output) {
 	for _, packet := range output.Packets {
 		f.send(packet)
 	}
@@ -260,7 +262,7 @@
 	if len(packet.Data) > maxDatagram {
 		select {
 		case f.calls <- packet:
-		default: // the far side is slow; the view's hash will ask again
+		default: // the receiver is slow; the view hash of a later probe requests the data again
 			f.options.Metrics.Count(sendFailed)
 		}
 		return
@@ -275,15 +277,16 @@
 func (f *Fleet) countSent(packet member.Packet, overhead int, err error) {
 	if err != nil {
 		f.options.Metrics.Count(sendFailed)
-		f.options.Log.Debug("packet not sent", zap.String("to", packet.To), zap.Error(err))
+		f.options.Log.Debug("cannot send membership packet", zap.String("to", packet.To), zap.Error(err))
 		return
 	}
 	f.options.Metrics.Count(packetsOut)
 	f.options.Metrics.Add(bytesOut, int64(len(packet.Data)+overhead))
 }
 
-// callLoop sends large packets one after the other: they are rare, and a peer
-// that hangs must not hold up datagrams.
+// callLoop sends large packets one at a time, which suffices because they are rare. It is
+// separate from the sending of datagrams, so that an unresponsive peer does not delay
+// them.
 func (f *Fleet) callLoop(ctx context.Context) {
 	for {
 		select {
@@ -291,7 +294,7 @@
 			return
 		case packet := <-f.calls:
 			limited, cancel := context.WithTimeout(ctx, f.options.Member.Heartbeat)
-			_, err := rpc.Call(limited, f.options.Client, packet.To, deliver, &Large{Data: packet.Data})
+			_, err := rpc.Call(limited, f.options.Client, packet.To, deliver, &LargePacket{Data: packet.Data})
 			cancel()
 			f.countSent(packet, 0, err)
 		}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -19,10 +19,10 @@
 	"slateway.example/slateway/internal/telemetry"
 )
 
-// patience is far above what a busy machine needs.
-const patience = 20 * time.Second
+// timeout is far more than a busy machine needs.
+const timeout = 20 * time.Second
 
-// received gathers what handlers were given.
+// received records the data that handlers were called with.
 type received struct {
 	mu     sync.Mutex
 	values map[string][]byte
@@ -45,7 +45,7 @@
 func startFleet(t *testing.T, name, place string, seeds ...string) (*fleet.Fleet, string, *received) {
 	t.Helper()
 	mux := http.NewServeMux()
-	server := httptest.NewServer(mux) // its TCP port serves UDP as well
+	server := httptest.NewServer(mux) // the fleet listens on its port number by UDP
 	t.Cleanup(server.Close)
 	address := server.Listener.Addr().(*net.TCPAddr).String()
 	transport := &http.Transport{}
@@ -80,17 +80,17 @@
 
 		large := bytes.Repeat([]byte("x"), 8000) // does not fit a datagram
 		g.Expect(two.SetDigest(fleet.KindPoison, large)).To(Succeed())
-		g.Eventually(fromOthers.get("digest vm2"), patience).Should(Equal(large))
-		g.Eventually(func() error { return two.Send("vm1", fleet.KindYield, []byte("now")) }, patience).Should(Succeed())
-		g.Eventually(fromOthers.get("direct vm2"), patience).Should(Equal([]byte("now")))
+		g.Eventually(fromOthers.get("digest vm2"), timeout).Should(Equal(large))
+		g.Eventually(func() error { return two.Send("vm1", fleet.KindYield, []byte("now")) }, timeout).Should(Succeed())
+		g.Eventually(fromOthers.get("direct vm2"), timeout).Should(Equal([]byte("now")))
 
 		one.SetSum(fleet.KindPoison, []byte("9 free"))
 		two.SetSum(fleet.KindPoison, []byte("9 free"))
-		g.Eventually(fromA.get("sum a"), patience).Should(Equal([]byte("9 free")))
-		g.Eventually(func() int { return len(far.Areas()) }, patience).Should(Equal(1))
+		g.Eventually(fromA.get("sum a"), timeout).Should(Equal([]byte("9 free")))
+		g.Eventually(func() int { return len(far.Areas()) }, timeout).Should(Equal(1))
 
 		two.Leave()
-		g.Eventually(func() member.State { return one.Members()[1].State }, patience).Should(Equal(member.Left))
+		g.Eventually(func() member.State { return one.Members()[1].State }, timeout).Should(Equal(member.Left))
 		g.Expect(one.Alone()).To(BeFalse())
 	})
 }
