--- a/internal/instant/clock.go
+++ b/internal/instant/clock.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Clock gives instants that go on with the steady time of the process: the time of day
-// may jump by an hour, and what waits must not be over because of it.
+// Clock returns instants that advance with the monotonic clock of the process. The time of
+// day may jump by an hour, and this must not end waits.
 type Clock struct{ start time.Time }
 
-// NewClock makes a clock that begins with the time of day.
+// NewClock creates a clock that starts at the current time of day.
 func NewClock() Clock { return Clock{start: time.Now()} }
 
-// Now gives the present instant.
+// Now returns the current instant.
 func (c Clock) Now() Micros { return Of(c.start.Add(time.Since(c.start))) }
--- a/internal/instant/instant.go
+++ b/internal/instant/instant.go
@@ -1,14 +1,14 @@
-// Package instant holds the points in time that replicated records carry.
+// Package instant defines the points in time that are stored in replicated records.
 package instant
 
 import "time"
 
-// Micros is a point in time: microseconds since the Unix epoch. Zero means that
-// no time is set. An integer has one encoding, so replicas and checksums agree
-// on it, which holds for neither time.Time nor a float.
+// Micros is a point in time in microseconds since the Unix epoch. Zero means that no time
+// is set. Unlike a time.Time or a float, an integer has only one encoding, so that
+// replicas and checksums agree.
 type Micros int64
 
-// Of converts t; the zero time gives zero.
+// Of converts t. It returns zero for the zero time.
 func Of(t time.Time) Micros {
 	if t.IsZero() {
 		return 0
@@ -16,7 +16,7 @@
 	return Micros(t.UnixMicro())
 }
 
-// Time converts back, in UTC; zero gives the zero time.
+// Time returns m as a time in UTC. It returns the zero time for zero.
 func (m Micros) Time() time.Time {
 	if m == 0 {
 		return time.Time{}
@@ -24,8 +24,8 @@
 	return time.UnixMicro(int64(m)).UTC()
 }
 
-// Add gives the instant d later.
+// Add returns m+d.
 func (m Micros) Add(d time.Duration) Micros { return m + Micros(d.Microseconds()) }
 
-// Sub gives the time from other to m.
+// Sub returns m-other.
 func (m Micros) Sub(other Micros) time.Duration { return time.Duration(m-other) * time.Microsecond }
--- a/internal/load/arrivals.go
+++ b/internal/load/arrivals.go
@@ -1,6 +1,7 @@
-// Package load offers requests at the times at which independent callers would
-// send them, whether or not earlier ones were answered, and measures the
-// answers from those times on. Slow answers so do not hide load.
+// Package load is an open-loop load generator. It sends requests at the times at which
+// independent callers would send them, whether or not earlier ones were answered, and
+// measures latencies from these intended times. Slow answers therefore do not hide load
+// (coordinated omission).
 package load
 
 import (
@@ -8,21 +9,21 @@
 	"time"
 )
 
-// Burst multiplies the rate of arrivals for a time.
+// Burst multiplies the arrival rate for a period.
 type Burst struct {
 	At     time.Duration `json:"at"`
 	For    time.Duration `json:"for"`
 	Factor float64       `json:"factor"`
 }
 
-// Profile describes a Poisson process.
+// Profile describes a Poisson process of arrivals.
 type Profile struct {
-	Rate   float64       `json:"rate"` // arrivals a second
+	Rate   float64       `json:"rate"` // arrivals per second
 	Length time.Duration `json:"length"`
 	Bursts []Burst       `json:"bursts,omitempty"`
 }
 
-// rateAt gives the rate at a time from the start.
+// rateAt returns the rate at a time since the start.
 func (p *Profile) rateAt(at time.Duration) float64 {
 	rate := p.Rate
 	for _, burst := range p.Bursts {
@@ -33,8 +34,8 @@
 	return rate
 }
 
-// highest gives a bound of the rate at all times.
-func (p *Profile) highest() float64 {
+// maxRate returns an upper bound of the rate at all times.
+func (p *Profile) maxRate() float64 {
 	rate := p.Rate
 	for _, burst := range p.Bursts {
 		rate *= max(burst.Factor, 1)
@@ -42,20 +43,20 @@
 	return rate
 }
 
-// Arrivals draws the times of arrivals from the start, in order: those of a
-// process at the highest rate, thinned to the rate of the moment.
+// Arrivals draws arrival times since the start, in order. It draws them at the maximum
+// rate and thins them to the rate at each time.
 func (p *Profile) Arrivals(random *rand.Rand) []time.Duration {
 	var arrivals []time.Duration
-	highest := p.highest()
-	if highest <= 0 {
+	maxRate := p.maxRate()
+	if maxRate <= 0 {
 		return nil
 	}
 	for at := time.Duration(0); ; {
-		at += time.Duration(random.ExpFloat64() / highest * float64(time.Second))
+		at += time.Duration(random.ExpFloat64() / maxRate * float64(time.Second))
 		if at >= p.Length {
 			return arrivals
 		}
-		if random.Float64()*highest < p.rateAt(at) {
+		if random.Float64()*maxRate < p.rateAt(at) {
 			arrivals = append(arrivals, at)
 		}
 	}
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -15,45 +15,45 @@
 	"time"
 )
 
-// Outcome says how a request ended for its caller.
+// Outcome is how a request ended for its caller.
 type Outcome string
 
 // Outcomes of requests.
 const (
-	Answered  Outcome = "answered"  // the whole answer, and the request's own
-	Refused   Outcome = "refused"   // a typed refusal
-	CutOff    Outcome = "cut off"   // the answer began and did not end
-	Failed    Outcome = "failed"    // no answer at all
-	Wrong     Outcome = "wrong"     // not the answer to this request
-	NotSent   Outcome = "not sent"  // the generator had too many open
-	Abandoned Outcome = "abandoned" // the run ended first
+	Answered  Outcome = "answered"  // the complete answer to this request was received
+	Refused   Outcome = "refused"   // refused with a reason
+	CutOff    Outcome = "cut off"   // the answer started and did not complete
+	Failed    Outcome = "failed"    // no answer
+	Wrong     Outcome = "wrong"     // not the answer to this request, or malformed
+	NotSent   Outcome = "not sent"  // the generator had too many open requests
+	Abandoned Outcome = "abandoned" // the run ended before the answer
 )
 
-// Result is what one request came to. Times count from its intended arrival.
+// Result is the result of one request. Times count from its intended arrival.
 type Result struct {
-	Arrival    time.Duration // intended, from the start of the run
-	FirstToken time.Duration // zero without a token
+	Arrival    time.Duration // intended, since the start of the run
+	FirstToken time.Duration // zero if there was no token
 	Total      time.Duration
 	Gaps       []time.Duration // between tokens
 	Tokens     int
 	Outcome    Outcome
-	Reason     string // of a refusal or failure
-	Retries    int    // further gates that were tried
+	Reason     string // of any outcome but Answered
+	Retries    int    // failed connection attempts before the result
 }
 
-// Client sends streaming requests to gates in turn. It goes on to the next
-// gate only if no connection came about.
+// Client sends streaming requests to gates in turn. It tries the next gate only if it
+// cannot connect to one.
 type Client struct {
 	Targets []string // IP:port
 	Token   string   // bearer token of the team
 	HTTP    *http.Client
-	// Check says whether a text is the whole answer to a request. May be nil.
+	// Check reports whether a text is the complete answer to a request. It may be nil.
 	Check func(request *Request, text string) bool
 
 	next atomic.Uint64
 }
 
-// NewClient makes a Client with connections of its own.
+// NewClient creates a Client with a connection pool of its own.
 func NewClient(targets []string, token string, check func(*Request, string) bool) *Client {
 	return &Client{
 		Targets: targets,
@@ -66,27 +66,27 @@
 	}
 }
 
-// body is a chat completion in OpenAI's form.
-type body struct {
-	Model     string    `json:"model"`
-	Stream    bool      `json:"stream"`
-	MaxTokens int       `json:"max_tokens"`
-	Messages  []message `json:"messages"`
+// chatRequest is a chat completion request of the OpenAI API.
+type chatRequest struct {
+	Model     string        `json:"model"`
+	Stream    bool          `json:"stream"`
+	MaxTokens int           `json:"max_tokens"`
+	Messages  []chatMessage `json:"messages"`
 }
 
-type message struct {
+type chatMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// Stream sends a request and reads its answer. intended is when it should have
+// Stream sends a request and reads its answer. intended is when the request should have
 // been sent.
 func (c *Client) Stream(ctx context.Context, intended time.Time, request *Request) Result {
-	encoded, err := json.Marshal(body{
+	encoded, err := json.Marshal(chatRequest{
 		Model:     request.Model,
 		Stream:    true,
 		MaxTokens: request.MaxTokens,
-		Messages:  []message{{Role: "user", Content: request.Prompt}},
+		Messages:  []chatMessage{{Role: "user", Content: request.Prompt}},
 	})
 	if err != nil {
 		return Result{Outcome: Failed, Reason: err.Error()}
@@ -94,19 +94,20 @@
 	var result Result
 	response, err := c.send(ctx, encoded, &result)
 	if err != nil {
-		result.fail(ctx, Failed, err)
+		result.recordFailure(ctx, Failed, err)
 	} else {
-		c.read(ctx, intended, request, response, &result)
+		c.readAnswer(ctx, intended, request, response, &result)
 		response.Body.Close()
 	}
 	result.Total = time.Since(intended)
 	return result
 }
 
-// send posts to the gates in turn, from a different one each time.
+// send posts the request to the first gate that it can connect to. Each call starts with
+// the next gate.
 func (c *Client) send(ctx context.Context, encoded []byte, result *Result) (*http.Response, error) {
 	first := int(c.next.Add(1))
-	var last error
+	var lastErr error
 	for i := range c.Targets {
 		target := c.Targets[(first+i)%len(c.Targets)]
 		request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+target+"/v1/chat/completions", bytes.NewReader(encoded))
@@ -119,14 +120,14 @@
 		if err == nil {
 			return response, nil
 		}
-		last = err
+		lastErr = err
 		var network *net.OpError
 		if !errors.As(err, &network) || network.Op != "dial" {
 			return nil, err
 		}
 		result.Retries++
 	}
-	return nil, last
+	return nil, lastErr
 }
 
 // chunk is one event of a streamed answer.
@@ -152,9 +153,9 @@
 	return r.Code
 }
 
-func (c *Client) read(ctx context.Context, intended time.Time, request *Request, response *http.Response, result *Result) {
+func (c *Client) readAnswer(ctx context.Context, intended time.Time, request *Request, response *http.Response, result *Result) {
 	if response.StatusCode != http.StatusOK {
-		result.refuse(response)
+		result.recordRefusal(response)
 		return
 	}
 	var text strings.Builder
@@ -166,12 +167,12 @@
 			continue
 		}
 		if data == "[DONE]" {
-			result.judge(c.Check, request, text.String())
+			result.checkAnswer(c.Check, request, text.String())
 			return
 		}
 		var event chunk
 		if err := json.Unmarshal([]byte(data), &event); err != nil {
-			result.fail(ctx, Wrong, err)
+			result.recordFailure(ctx, Wrong, err)
 			return
 		}
 		if event.Error != nil {
@@ -183,7 +184,7 @@
 			continue
 		}
 		now := time.Now()
-		result.token(now.Sub(intended), now.Sub(last))
+		result.recordToken(now.Sub(intended), now.Sub(last))
 		last = now
 		text.WriteString(event.Choices[0].Delta.Content)
 	}
@@ -191,11 +192,12 @@
 	if err == nil {
 		err = io.ErrUnexpectedEOF
 	}
-	result.fail(ctx, CutOff, err)
+	result.recordFailure(ctx, CutOff, err)
 }
 
-// token notes a token at a time since the arrival, and gap after the last one.
-func (r *Result) token(sinceArrival, gap time.Duration) {
+// recordToken records a recordToken that was received at a time since the arrival and a gap
+// after the previous recordToken.
+func (r *Result) recordToken(sinceArrival, gap time.Duration) {
 	r.Tokens++
 	if r.Tokens == 1 {
 		r.FirstToken = sinceArrival
@@ -204,7 +206,7 @@
 	r.Gaps = append(r.Gaps, gap)
 }
 
-func (r *Result) judge(check func(*Request, string) bool, request *Request, text string) {
+func (r *Result) checkAnswer(check func(*Request, string) bool, request *Request, text string) {
 	r.Outcome = Answered
 	if check != nil && !check(request, text) {
 		r.Outcome = Wrong
@@ -212,7 +214,7 @@
 	}
 }
 
-func (r *Result) refuse(response *http.Response) {
+func (r *Result) recordRefusal(response *http.Response) {
 	var parsed struct {
 		Error refusal `json:"error"`
 	}
@@ -224,7 +226,7 @@
 	}
 }
 
-func (r *Result) fail(ctx context.Context, outcome Outcome, err error) {
+func (r *Result) recordFailure(ctx context.Context, outcome Outcome, err error) {
 	r.Outcome = outcome
 	r.Reason = failureReason(err)
 	if ctx.Err() != nil {
@@ -233,7 +235,8 @@
 	}
 }
 
-// failureReason groups errors whose texts differ by address.
+// failureReason returns a description of err without addresses, so that errors of the
+// same kind are counted together.
 func failureReason(err error) string {
 	var network *net.OpError
 	var timeout net.Error
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -22,31 +22,30 @@
 	}
 	arrivals := profile.Arrivals(rand.New(rand.NewPCG(7, 0)))
 	if !slices.Equal(arrivals, profile.Arrivals(rand.New(rand.NewPCG(7, 0)))) {
-		t.Fatal("the same seed gave other arrivals")
+		t.Fatal("the same seed produced different arrivals")
 	}
 	if !slices.IsSorted(arrivals) {
-		t.Fatal("arrivals are not in order")
+		t.Fatal("arrivals are not sorted")
 	}
 	count := map[bool]float64{}
 	for _, at := range arrivals {
 		count[at >= 4*time.Second && at < 6*time.Second]++
 	}
-	// 8,000 outside and 10,000 inside the burst, within six standard deviations.
+	// Expects 8,000 outside and 10,000 inside the burst, within six standard deviations.
 	if math.Abs(count[false]-8000) > 540 || math.Abs(count[true]-10000) > 600 {
-		t.Fatalf("%v arrivals", count)
+		t.Fatalf("%v arrivals by whether they are in the burst, want about 8000 outside and 10000 inside", count)
 	}
 }
 
-// A server stalls while callers keep coming. Measured from when each request
-// was really sent after the stall, the times would look good. From the intended
-// arrival on, they show the stall.
+// Latencies must count from the intended arrival. If they counted from when a request was
+// actually sent, a stall would not show in the latencies of the requests that it delays.
 func TestTimesCountFromTheIntendedArrival(t *testing.T) {
 	const stall = 200 * time.Millisecond
-	intendedEarlier := func(_ context.Context, intended time.Time, _ *load.Request) load.Result {
+	answerNow := func(_ context.Context, intended time.Time, _ *load.Request) load.Result {
 		return load.Result{Outcome: load.Answered, Tokens: 1, FirstToken: time.Since(intended), Total: time.Since(intended)}
 	}
 	arrivals := []time.Duration{-stall, -stall, -stall}
-	summary := load.OpenLoop(context.Background(), arrivals, make([]load.Request, 3), 10, intendedEarlier).Summary()
+	summary := load.OpenLoop(context.Background(), arrivals, make([]load.Request, 3), 10, answerNow).Summary()
 	if summary.Answered != 3 || summary.FirstToken.Median < 200 {
 		t.Fatalf("%+v", summary)
 	}
@@ -69,8 +68,8 @@
 	options.TokenEvery = 0
 	instance := httptest.NewServer(engine.New(options))
 	defer instance.Close()
-	// A crashing engine may die before or after its status line; which of them
-	// is a race, so each has a server of its own.
+	// Whether a crashing engine dies before or after its status line is a race, so each
+	// case has a server of its own.
 	closing := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		panic(http.ErrAbortHandler)
 	}))
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -7,14 +7,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds and precision of the histograms, in microseconds.
+// Range in microseconds and precision of the histograms.
 const (
-	lowestMicros  = 1
-	highestMicros = int64(10 * time.Minute / time.Microsecond)
-	digits        = 3
+	lowestMicros      = 1
+	highestMicros     = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-// Recorder collects results of concurrent requests.
+// Recorder collects the results of concurrent requests.
 type Recorder struct {
 	mu         sync.Mutex
 	firstToken *hdrhistogram.Histogram
@@ -23,7 +23,7 @@
 	summary    Summary
 }
 
-// Quantiles are in milliseconds.
+// Quantiles holds quantiles of a latency in milliseconds.
 type Quantiles struct {
 	Count  int64   `json:"count"`
 	Median float64 `json:"median_ms"`
@@ -33,7 +33,7 @@
 	Max    float64 `json:"max_ms"`
 }
 
-// Summary is what a run came to.
+// Summary summarizes the results of a run.
 type Summary struct {
 	Offered    int64             `json:"offered"`
 	Answered   int64             `json:"answered"`
@@ -44,20 +44,20 @@
 	Gap        Quantiles         `json:"gap"`
 	Total      Quantiles         `json:"total"`
 	Outcomes   map[Outcome]int64 `json:"outcomes"`
-	Reasons    map[string]int64  `json:"reasons"` // outcome and reason of all that were not answered
+	Reasons    map[string]int64  `json:"reasons"` // requests that were not answered, by "outcome: reason"
 }
 
-// NewRecorder makes an empty Recorder.
+// NewRecorder creates an empty Recorder.
 func NewRecorder() *Recorder {
 	return &Recorder{
-		firstToken: hdrhistogram.New(lowestMicros, highestMicros, digits),
-		gap:        hdrhistogram.New(lowestMicros, highestMicros, digits),
-		total:      hdrhistogram.New(lowestMicros, highestMicros, digits),
+		firstToken: hdrhistogram.New(lowestMicros, highestMicros, significantDigits),
+		gap:        hdrhistogram.New(lowestMicros, highestMicros, significantDigits),
+		total:      hdrhistogram.New(lowestMicros, highestMicros, significantDigits),
 		summary:    Summary{Outcomes: map[Outcome]int64{}, Reasons: map[string]int64{}},
 	}
 }
 
-// Record adds a result. Times count for answered requests only.
+// Record adds a result. Only the times of answered requests are recorded.
 func (r *Recorder) Record(result *Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,20 +79,20 @@
 	}
 }
 
-// record adds a time; one beyond the bounds counts as the bound.
+// record adds a time, limited to the range of the histogram.
 func record(histogram *hdrhistogram.Histogram, value time.Duration) {
 	micros := min(max(value.Microseconds(), lowestMicros), highestMicros)
 	_ = histogram.RecordValue(micros)
 }
 
-// Finish notes the run's length.
+// Finish records the length of the run.
 func (r *Recorder) Finish(length time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.summary.Seconds = length.Seconds()
 }
 
-// Summary gives what was recorded so far.
+// Summary returns a summary of the results so far.
 func (r *Recorder) Summary() Summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -103,8 +103,8 @@
 	return summary
 }
 
-// FirstTokenCurve gives the first-token time in milliseconds at quantiles, 0
-// to 100.
+// FirstTokenCurve returns the time to the first token in milliseconds at the given
+// percentiles, from 0 to 100.
 func (r *Recorder) FirstTokenCurve(at []float64) []float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// Send does one request that should have been sent at a time.
+// Send sends one request, which should have been sent at the intended time, and returns
+// its result.
 type Send func(ctx context.Context, intended time.Time, request *Request) Result
 
-// OpenLoop offers requests at their arrivals, counted from now, and waits for
-// the last answer or until ctx ends. No more than maxOpen are open at a time;
-// further ones are recorded as not sent, never delayed.
+// OpenLoop sends requests at their arrival times, counted from now, and waits for the last
+// answer or until ctx ends. At most maxOpen requests are open at a time; further ones are
+// recorded as not sent rather than delayed.
 func OpenLoop(ctx context.Context, arrivals []time.Duration, requests []Request, maxOpen int, send Send) *Recorder {
 	recorder := NewRecorder()
 	start := time.Now()
@@ -40,17 +41,17 @@
 	return recorder
 }
 
-// ClosedLoop keeps width requests open, taken from requests in turn and over
-// again, until ctx ends or an end is called for by a total of limit requests.
+// ClosedLoop keeps width requests open until ctx ends or limit requests have been sent. It
+// cycles through requests.
 func ClosedLoop(ctx context.Context, requests []Request, width, limit int, send Send) *Recorder {
 	recorder := NewRecorder()
 	start := time.Now()
-	var taken atomic.Int64
+	var next atomic.Int64
 	var workers sync.WaitGroup
 	for range width {
 		workers.Go(func() {
 			for ctx.Err() == nil {
-				i := int(taken.Add(1)) - 1
+				i := int(next.Add(1)) - 1
 				if i >= limit {
 					return
 				}
@@ -69,7 +70,8 @@
 	return recorder
 }
 
-// refusalPause keeps a closed loop from spinning on refusals.
+// refusalPause is the pause after a request that was not answered. It keeps a closed loop
+// from spinning on refusals.
 const refusalPause = 20 * time.Millisecond
 
 func waitUntil(ctx context.Context, at time.Time) bool {
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,19 +1,19 @@
-// Package rendezvous chooses one of several candidates for a key by rendezvous
-// hashing: all who know the same candidates choose the same one, keys spread evenly
-// over the candidates, and a candidate that is gone moves its own keys only.
+// Package rendezvous assigns keys to candidates by rendezvous hashing. Everyone with the
+// same list of candidates chooses the same candidate for a key, keys are distributed
+// evenly, and the removal of a candidate moves only its own keys.
 package rendezvous
 
 import "github.com/cespare/xxhash/v2"
 
-// Best gives the candidate with the highest score for the key; empty if there is
-// no candidate.
+// Best returns the candidate with the highest score for the key, or "" if there is no
+// candidate.
 func Best(key string, candidates []string) string {
 	best, _ := BestTwo(key, candidates)
 	return best
 }
 
-// BestTwo gives the candidate with the highest score for the key and the one that
-// would be if that were gone; empty if there are too few.
+// BestTwo returns the candidates with the highest and the second highest score for the
+// key. Each is "" if there are too few candidates.
 func BestTwo(key string, candidates []string) (best, second string) {
 	var bestScore, secondScore uint64
 	for _, candidate := range candidates {
