--- a/internal/control/follow.go
+++ b/internal/control/follow.go
@@ -27,7 +27,7 @@
 		since = 0
 	}
 	if request.Routes == 0 && s.hasJustStarted() && !s.InContact() {
-		if response, changed, _ := s.answer(request, since); changed && response.HasRoutes() {
+		if response, changed, _ := s.buildResponse(request, since); changed && response.HasRoutes() {
 			s.options.Log.Info("no leader yet after a restart: sending the routes on disk to a gate without routes", zap.String("gate", request.Gate.VM),
 				zap.Uint64("version", s.options.Config.Routes().Version()))
 			return response, nil
@@ -50,7 +50,7 @@
 	defer timer.Stop()
 	for {
 		routesChanged := s.options.Config.Changed()
-		response, changed, rosterChanged := s.answer(request, since)
+		response, changed, rosterChanged := s.buildResponse(request, since)
 		if changed {
 			return response, nil
 		}
@@ -125,9 +125,9 @@
 	}
 }
 
-// answer builds the response to a gate. It reports whether the response contains changes
+// buildResponse builds the response to a gate. It reports whether the response contains changes
 // and returns a channel that closes at the next roster change.
-func (s *Service) answer(request *controlapi.FollowRequest, since uint64) (*controlapi.FollowResponse, bool, <-chan struct{}) {
+func (s *Service) buildResponse(request *controlapi.FollowRequest, since uint64) (*controlapi.FollowResponse, bool, <-chan struct{}) {
 	response := &controlapi.FollowResponse{Epoch: s.epoch}
 	s.addPeers(response, request.Peers)
 	matcher := s.options.Config.Routes()
--- a/internal/control/retire.go
+++ b/internal/control/retire.go
@@ -13,9 +13,9 @@
 
 // Reasons for refused retirements.
 const (
-	ReasonUnknownVM apierr.Reason = "unknown_vm"
-	ReasonTooFewVMs apierr.Reason = "too_few_vms"
-	ReasonRetireOff apierr.Reason = "retirement_unknown"
+	ReasonUnknownVM         apierr.Reason = "unknown_vm"
+	ReasonTooFewVMs         apierr.Reason = "too_few_vms"
+	ReasonRetirementUnknown apierr.Reason = "retirement_unknown"
 )
 
 // Retire starts the retirement of a VM that holds jobs: its part of the replicated state
@@ -62,7 +62,7 @@
 func (s *Service) Retired(ctx context.Context, vm string) (done bool, err error) {
 	if !slices.Contains(s.options.Config.Retired(), vm) {
 		// The retirement may have been started at another VM and not yet be applied here.
-		return false, apierr.New(apierr.Unavailable, ReasonRetireOff, "retry, or start the retirement first",
+		return false, apierr.New(apierr.Unavailable, ReasonRetirementUnknown, "retry, or start the retirement first",
 			"this VM knows of no retirement of VM %q", vm).WithRetryAfter(noContactRetry)
 	}
 	left, err := s.options.Group.Retire(ctx, []string{vm})
--- a/internal/member/area.go
+++ b/internal/member/area.go
@@ -189,8 +189,8 @@
 }
 
 // mergeAreas stores the newer areas in m and forwards them. An area of the own place from
-// another publisher means that the place was partitioned; joining its contacts heals the
-// partition.
+// a publisher that is not known here means that the place was partitioned; joining its
+// contacts heals the partition.
 func (n *Node) mergeAreas(now time.Time, m *message) {
 	var updates []Area
 	for _, area := range m.Areas {
