--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -315,7 +315,7 @@
 		s.recordRefusal("routes not replaced", apierr.From(err), document.Version)
 		return nil, err
 	}
-	s.options.Log.Info("routes replaced", zap.Uint64("version", document.Version), zap.Uint64("in_force", outcome.Held),
+	s.options.Log.Info("routes replaced", zap.Uint64("version", document.Version), zap.Uint64("in_force", outcome.Current),
 		zap.Bool("applied", outcome.Applied), zap.Int("routes", len(document.Routes)), zap.Duration("took", time.Since(began)))
 	return outcome, nil
 }
