--- a/internal/control/concurrency_test.go
+++ b/internal/control/concurrency_test.go
@@ -36,7 +36,7 @@
 		following.Go(func() {
 			request := &controlapi.FollowRequest{
 				Gate: roster.Gate{VM: fmt.Sprint("gate-", i), Ready: true, Started: 1}, Routes: 5,
-				Wait: 500 * time.Millisecond, TakesGateChanges: true,
+				Wait: 500 * time.Millisecond, AcceptsGateChanges: true,
 			}
 			time.Sleep(time.Duration(i) * 5 * time.Millisecond)
 			for ctx.Err() == nil {
@@ -152,7 +152,7 @@
 	if _, err := rpc.Call(ctx, calls, address, controlapi.Share, &controlapi.ShareRequest{Gates: gates}); err != nil {
 		t.Fatal(err)
 	}
-	request := &controlapi.FollowRequest{Gate: roster.Gate{VM: "gate-1", Started: 1, Sequence: 1}, Routes: 5, TakesGateChanges: true}
+	request := &controlapi.FollowRequest{Gate: roster.Gate{VM: "gate-1", Started: 1, Sequence: 1}, Routes: 5, AcceptsGateChanges: true}
 	var first []byte
 	for range 2 {
 		response, err := rpc.Call(ctx, calls, address, controlapi.Follow, request)
@@ -171,7 +171,7 @@
 			t.Errorf("%d gates, %v", len(response.Changes.Gates), err)
 		}
 	}
-	request.TakesGateChanges = false
+	request.AcceptsGateChanges = false
 	response, err := rpc.Call(ctx, calls, address, controlapi.Follow, request)
 	if err != nil || len(response.PackedChanges) > 0 || len(response.Changes.Gates) != 200 {
 		t.Errorf("a gate of the previous release gets %d gates, %v", len(response.Changes.Gates), err)
--- a/internal/control/controlapi/api.go
+++ b/internal/control/controlapi/api.go
@@ -47,12 +47,12 @@
 	Since  uint64        `cbor:"4,keyasint"` // roster version of the last response
 	Wait   time.Duration `cbor:"5,keyasint"`
 	// PeersHash is the hash of the control VM and keeper lists in the last response.
-	Peers uint64 `cbor:"6,keyasint"`
+	PeersHash uint64 `cbor:"6,keyasint"`
 	// AcceptsPacked reports whether the gate can decode packed routes.
-	TakesPacked bool `cbor:"7,keyasint,omitempty"`
+	AcceptsPacked bool `cbor:"7,keyasint,omitempty"`
 	// AcceptsGateChanges reports whether the gate can apply incremental changes of the
 	// gate list, rather than the full list, and decode packed changes.
-	TakesGateChanges bool `cbor:"8,keyasint,omitempty"`
+	AcceptsGateChanges bool `cbor:"8,keyasint,omitempty"`
 	// Confirm requests routes that are at least as new as those in force when the
 	// request arrived: the control VM first asks the leader for their version.
 	Confirm bool `cbor:"9,keyasint,omitempty"`
@@ -62,13 +62,13 @@
 type FollowResponse struct {
 	// Epoch identifies the run of the control VM's process. Roster versions are
 	// comparable only within one epoch.
-	Epoch    string           `cbor:"1,keyasint"`
-	Changes  roster.Changes   `cbor:"2,keyasint"`
-	Routes   *routes.Document `cbor:"3,keyasint,omitempty"` // if newer than the gate's
-	Controls []string         `cbor:"4,keyasint,omitempty"` // peers addresses of the control VMs, if a list changed
-	Keepers  []string         `cbor:"5,keyasint,omitempty"` // of all VMs that hold replicated state, if a list changed
-	Peers    uint64           `cbor:"6,keyasint"`           // hash of the two lists
-	Packed   routes.Packed    `cbor:"7,keyasint,omitempty"` // replaces Routes for a gate with AcceptsPacked
+	Epoch     string           `cbor:"1,keyasint"`
+	Changes   roster.Changes   `cbor:"2,keyasint"`
+	Routes    *routes.Document `cbor:"3,keyasint,omitempty"` // if newer than the gate's
+	Controls  []string         `cbor:"4,keyasint,omitempty"` // peers addresses of the control VMs, if a list changed
+	Keepers   []string         `cbor:"5,keyasint,omitempty"` // of all VMs that hold replicated state, if a list changed
+	PeersHash uint64           `cbor:"6,keyasint"`           // hash of the two lists
+	Packed    routes.Packed    `cbor:"7,keyasint,omitempty"` // replaces Routes for a gate with AcceptsPacked
 	// PackedChanges replaces Changes that are large, for a gate with AcceptsGateChanges.
 	PackedChanges []byte `cbor:"8,keyasint,omitempty"`
 	// ExpectedGates is the number of gates, including gates that were known before this
@@ -76,7 +76,7 @@
 	ExpectedGates int `cbor:"9,keyasint,omitempty"`
 	// MissingGates lists the gates that were known before this VM restarted and have
 	// not reported since. It is sent only with a full response.
-	GatesBefore []roster.Gate `cbor:"10,keyasint,omitempty"`
+	MissingGates []roster.Gate `cbor:"10,keyasint,omitempty"`
 }
 
 // Unpack decodes PackedChanges, if present, into Changes.
--- a/internal/control/follow.go
+++ b/internal/control/follow.go
@@ -129,17 +129,17 @@
 // and returns a channel that closes at the next roster change.
 func (s *Service) buildResponse(request *controlapi.FollowRequest, since uint64) (*controlapi.FollowResponse, bool, <-chan struct{}) {
 	response := &controlapi.FollowResponse{Epoch: s.epoch}
-	s.addPeers(response, request.Peers)
+	s.addPeers(response, request.PeersHash)
 	matcher := s.options.Config.Routes()
 	if matcher.Version() > request.Routes {
-		s.addRoutes(response, matcher.Document(), request.TakesPacked)
+		s.addRoutes(response, matcher.Document(), request.AcceptsPacked)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.addChanges(response, since, request.TakesGateChanges)
+	s.addChanges(response, since, request.AcceptsGateChanges)
 	response.ExpectedGates = s.expectedGates()
 	if since == 0 {
-		response.GatesBefore = s.missingGates(response.ExpectedGates)
+		response.MissingGates = s.missingGates(response.ExpectedGates)
 	}
 	changed := response.HasRoutes() || s.table.Version() > since
 	return response, changed, s.changed
@@ -184,7 +184,7 @@
 // Sent to each gate twice a second, they would be most of the bytes of the responses.
 func (s *Service) addPeers(response *controlapi.FollowResponse, knownHash uint64) {
 	peers := s.knownPeers()
-	response.Peers = peers.hash
+	response.PeersHash = peers.hash
 	if peers.hash != knownHash {
 		response.Controls, response.Keepers = peers.controls, peers.keepers
 	}
--- a/internal/control/follow_test.go
+++ b/internal/control/follow_test.go
@@ -115,7 +115,7 @@
 	address, calls := startControl(t, &member{})
 	for _, packed := range []bool{true, false} {
 		response, err := rpc.Call(context.Background(), calls, address, controlapi.Follow,
-			&controlapi.FollowRequest{Gate: roster.Gate{VM: "gate-1"}, Routes: 4, TakesPacked: packed})
+			&controlapi.FollowRequest{Gate: roster.Gate{VM: "gate-1"}, Routes: 4, AcceptsPacked: packed})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/control/longpoll_test.go
+++ b/internal/control/longpoll_test.go
@@ -20,7 +20,7 @@
 
 func newFollower(t *testing.T, calls *rpc.Client, vm string) *follower {
 	return &follower{t: t, calls: calls, request: &controlapi.FollowRequest{
-		Gate: roster.Gate{VM: vm, Ready: true, Started: 1}, Routes: 5, TakesGateChanges: true, Wait: 100 * time.Millisecond,
+		Gate: roster.Gate{VM: vm, Ready: true, Started: 1}, Routes: 5, AcceptsGateChanges: true, Wait: 100 * time.Millisecond,
 	}}
 }
 
--- a/internal/control/retire.go
+++ b/internal/control/retire.go
@@ -59,7 +59,7 @@
 }
 
 // RetirementDone reports whether a VM that is being retired holds no state any more.
-func (s *Service) Retired(ctx context.Context, vm string) (done bool, err error) {
+func (s *Service) RetirementDone(ctx context.Context, vm string) (done bool, err error) {
 	if !slices.Contains(s.options.Config.Retired(), vm) {
 		// The retirement may have been started at another VM and not yet be applied here.
 		return false, apierr.New(apierr.Unavailable, ReasonRetirementUnknown, "retry, or start the retirement first",
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -357,10 +357,10 @@
 )
 
 // RecordBadAnnouncement counts and logs an announcement that cannot be decoded.
-func (s *Service) BadAnnouncement(id string, err error) {
+func (s *Service) RecordBadAnnouncement(id string, err error) {
 	s.options.Metrics.Refused(apierr.ReasonOf(err))
 	s.options.Log.Info("announcement refused", telemetry.Upstream(id), telemetry.Reason(string(apierr.ReasonOf(err))), zap.Error(err))
 }
 
 // RecordBadRoutes counts and logs a route document that cannot be decoded.
-func (s *Service) BadRoutes(err error) { s.recordRefusal("routes refused", apierr.From(err), 0) }
+func (s *Service) RecordBadRoutes(err error) { s.recordRefusal("routes refused", apierr.From(err), 0) }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -153,7 +153,7 @@
 }
 
 // Isolated reports whether this VM is probably cut off from all others.
-func (f *Fleet) Alone() bool {
+func (f *Fleet) Isolated() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.node.Isolated(time.Now())
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -91,6 +91,6 @@
 
 		two.Leave()
 		g.Eventually(func() member.State { return one.Members()[1].State }, timeout).Should(Equal(member.Left))
-		g.Expect(one.Alone()).To(BeFalse())
+		g.Expect(one.Isolated()).To(BeFalse())
 	})
 }
--- a/internal/gate/follow/follower.go
+++ b/internal/gate/follow/follower.go
@@ -300,8 +300,8 @@
 	defer f.mu.Unlock()
 	f.gate.Sequence++
 	request := &controlapi.FollowRequest{
-		Gate: f.gate, Routes: f.Routes().Version(), Epoch: f.epoch, Since: f.since, Wait: pollWait, Peers: f.peers,
-		TakesPacked: true, TakesGateChanges: true,
+		Gate: f.gate, Routes: f.Routes().Version(), Epoch: f.epoch, Since: f.since, Wait: pollWait, PeersHash: f.peers,
+		AcceptsPacked: true, AcceptsGateChanges: true,
 	}
 	if time.Since(f.fullRefreshAt) >= fullRefreshInterval {
 		request.Epoch, request.Since = "", 0
--- a/internal/gate/follow/take.go
+++ b/internal/gate/follow/take.go
@@ -31,7 +31,7 @@
 	if len(response.Controls) > 0 {
 		f.setControls(response.Controls)
 		f.keepers = response.Keepers
-		f.peers = response.Peers
+		f.peers = response.PeersHash
 	}
 	if full {
 		f.fullRefreshAt = time.Now()
@@ -131,7 +131,7 @@
 	f.expected = expected
 	f.gates = roster.ApplyGates(f.gates, changes)
 	if full {
-		f.missing = response.GatesBefore
+		f.missing = response.MissingGates
 	}
 	f.missing = f.stillMissing()
 	return f.onGates
