--- a/internal/keeper/command.go
+++ b/internal/keeper/command.go
@@ -9,20 +9,20 @@
 	"slateway.example/slateway/internal/team"
 )
 
-// configCommand is an entry in the log of the configuration group: exactly one
-// operation.
+// configCommand is a log entry of the configuration group. Exactly one of its
+// operations is set.
 type configCommand struct {
 	Change  *team.Change   `cbor:"1,keyasint,omitempty"`
 	Acquire *acquireTenure `cbor:"2,keyasint,omitempty"`
 	End     *endTenure     `cbor:"3,keyasint,omitempty"`
 
-	Routes *routes.Document `cbor:"4,keyasint,omitempty"` // as earlier versions wrote them
-	Retire string           `cbor:"5,keyasint,omitempty"` // VM that is to hold nothing any more
+	Routes *routes.Document `cbor:"4,keyasint,omitempty"` // unpacked; written by earlier versions only
+	Retire string           `cbor:"5,keyasint,omitempty"` // VM to decommission
 	Packed routes.Packed    `cbor:"6,keyasint,omitempty"` // routes
 }
 
-// command is an entry in the log of a job group: the time at which it was
-// proposed and exactly one operation.
+// command is a log entry of a job group: the time of the proposal and exactly
+// one operation.
 type command struct {
 	At          instant.Micros  `cbor:"1,keyasint"`
 	Create      *job.Spec       `cbor:"2,keyasint,omitempty"`
@@ -54,7 +54,7 @@
 type openSession struct {
 	Session job.SessionID `cbor:"1,keyasint"`
 	VM      string        `cbor:"2,keyasint"`
-	Started int64         `cbor:"3,keyasint,omitempty"` // of the gate's process, Unix milliseconds
+	Started int64         `cbor:"3,keyasint,omitempty"` // start of the gate's process, Unix milliseconds
 }
 
 func (o *openSession) run() job.Run { return job.Run{VM: o.VM, Started: o.Started} }
@@ -70,11 +70,11 @@
 	Results []job.Result  `cbor:"2,keyasint"`
 }
 
-// result is what a command gives to its proposer.
+// result is returned to the proposer of a command.
 type result struct {
 	Refusal *apierr.Error `cbor:"1,keyasint,omitempty"`
 	Status  *job.Status   `cbor:"2,keyasint,omitempty"`
 	Leased  []job.Leased  `cbor:"3,keyasint,omitempty"`
 	Claim   *claim.Answer `cbor:"4,keyasint,omitempty"`
-	Taken   bool          `cbor:"5,keyasint,omitempty"` // of Leased: its request's number is used up
+	Taken   bool          `cbor:"5,keyasint,omitempty"` // the request number of the lease is used and must not be reused
 }
--- a/internal/keeper/configcalls.go
+++ b/internal/keeper/configcalls.go
@@ -120,7 +120,7 @@
 	}
 	progress := &keeperapi.ChangeProgress{
 		Current: s.options.Config.revision(),
-		Waiting: s.gates.waiting(revision, now),
+		Waiting: s.gates.unacknowledged(revision, now),
 	}
 	settled := since.Add(s.options.ConfigLease + s.options.ConfigLease/4)
 	progress.Settling = max(0, settled.Sub(now))
--- a/internal/keeper/doc.go
+++ b/internal/keeper/doc.go
@@ -1,9 +1,9 @@
-// Package keeper runs the replicated state of a VM with a disk: the state
-// machines of the configuration group and of the job groups, and the service by
-// which gates and operators use them.
+// Package keeper implements the replicated state that a VM with a disk holds:
+// the state machines of the configuration group and of the job groups, and the
+// service through which gates and operators access them.
 //
-// What only the leader of a group needs and can learn again stays out of the
-// log: which gates renewed their configuration lease, and when each session was
-// last heard of. A new leader starts with a full lease time in which it calls
-// nothing in force and ends no session.
+// State that only a group's leader needs and can rebuild is not logged: the
+// gates' configuration leases and the last contact of each session. A new leader
+// therefore reports no revision as in force, and ends no session, until one full
+// lease time has passed.
 package keeper
--- a/internal/keeper/files.go
+++ b/internal/keeper/files.go
@@ -8,37 +8,35 @@
 	"slateway.example/slateway/internal/replica"
 )
 
-// fileKind tells the record files of a job group apart: their records live for
-// different times.
+// fileKind is the kind of records in a file of a job group. Kinds have separate
+// files because their records have different lifetimes.
 type fileKind int
 
 const (
 	partFiles    fileKind = iota // items of open jobs
-	resultFiles                  // results, until the retention of their jobs
-	outcomeFiles                 // of claims
+	resultFiles                  // results, kept until the retention of their job ends
+	outcomeFiles                 // outcomes of claims
 	fileKinds
 )
 
-// prefixes name the files of each kind.
-var prefixes = [fileKinds]string{"part", "result", "outcome"}
+// filePrefixes are the file name filePrefixes by kind.
+var filePrefixes = [fileKinds]string{"part", "result", "outcome"}
 
-// files holds the records of a job group on the disk.
+// files stores the records of a job group on disk.
 type files struct {
 	logs [fileKinds]*blob.Log
 	fail func(error)
 
-	// unused lists the segments that were not in use at the last snapshot.
-	//
-	// Deleted at once, a segment would be missing when this VM restarts from
-	// the snapshot before, which still names it. By the time of the next
-	// snapshot the last one lies on the disk, so only then they go.
+	// unused lists the segments that were not in use at the last snapshot. They
+	// are deleted at the next one: until the last snapshot is on disk, this VM
+	// may restart from the previous snapshot, which still refers to them.
 	unused [fileKinds][]uint32
 }
 
 func newFiles(folder string, segmentBytes int64, fail func(error)) *files {
 	f := &files{fail: fail}
 	for kind := range f.logs {
-		f.logs[kind] = blob.Open(folder, prefixes[kind], segmentBytes)
+		f.logs[kind] = blob.Open(folder, filePrefixes[kind], segmentBytes)
 	}
 	return f
 }
@@ -64,7 +62,7 @@
 // AppendOutcome stores the outcome of a claim.
 func (f *files) AppendOutcome(data []byte) job.Ref { return f.append(outcomeFiles, data) }
 
-// ReadPart reads a part for a command.
+// ReadPart reads a part while a command is applied. It calls fail on an error.
 func (f *files) ReadPart(ref job.Ref) []byte {
 	data, err := f.read(partFiles, ref)
 	if err != nil {
@@ -73,7 +71,8 @@
 	return data
 }
 
-// ReadRecord reads the record of an ended job for a command.
+// ReadRecord reads the record of an ended job while a command is applied. It
+// calls fail on an error.
 func (f *files) ReadRecord(ref job.Ref) []byte {
 	data, err := f.read(resultFiles, ref)
 	if err != nil {
@@ -85,8 +84,8 @@
 // ReadResult reads a result or index page.
 func (f *files) ReadResult(ref job.Ref) ([]byte, error) { return f.read(resultFiles, ref) }
 
-// sync makes all records last and lists the files. Segments that are not in use
-// leave the list now and the disk at the next call.
+// sync flushes all records to disk and lists the files. Unused segments are
+// omitted from the list and deleted at the next call.
 func (f *files) sync(inUse func(fileKind, uint32) bool) ([]replica.File, error) {
 	var listed []replica.File
 	for kind, log := range f.logs {
--- a/internal/keeper/gatelease.go
+++ b/internal/keeper/gatelease.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// gateLeases records, on the leader of the configuration group, which revision
-// each gate has acknowledged and until when it may serve by it.
+// gateLeases records, on the leader of the configuration group, the revision
+// that each gate has acknowledged and the end of its configuration lease.
 //
-// The leases stay out of the log: renewals of 420 gates would be most of its
-// entries. That is safe across a change of leader. A lease counts from when the
-// gate sent its request, and a leader answers only after a majority confirmed
-// it, so each lease of an old leader is over one lease time after a new one took
-// over; until then the new one calls nothing in force.
+// The leases are not logged, because the renewals of 420 gates would be most of
+// the log's entries. A change of leader is safe all the same: a lease starts when
+// the gate sends its request, and a leader grants it only after a majority has
+// confirmed its leadership. All leases of an old leader have therefore expired
+// one lease time after a new leader's election, and until then the new leader
+// reports no revision as in force.
 type gateLeases struct {
 	mu      sync.Mutex
 	gates   map[string]gateLease // by VM
@@ -22,22 +23,23 @@
 
 type gateLease struct {
 	applied uint64
-	until   time.Time
+	expires time.Time
 }
 
 func newGateLeases() *gateLeases {
 	return &gateLeases{gates: make(map[string]gateLease)}
 }
 
-// renew notes that a gate serves by the revision until the given time.
+// renew records that a gate serves the applied revision and may do so until the
+// given time.
 func (g *gateLeases) renew(vm string, applied uint64, until time.Time) {
 	g.mu.Lock()
-	g.gates[vm] = gateLease{applied: applied, until: until}
+	g.gates[vm] = gateLease{applied: applied, expires: until}
 	g.mu.Unlock()
 	g.changed.notify()
 }
 
-// remove ends the lease of a gate that serves no longer.
+// remove deletes the lease of a gate that is shutting down.
 func (g *gateLeases) remove(vm string) {
 	g.mu.Lock()
 	delete(g.gates, vm)
@@ -45,14 +47,15 @@
 	g.changed.notify()
 }
 
-// waiting lists the gates that hold a lease and serve by an earlier revision.
-func (g *gateLeases) waiting(revision uint64, now time.Time) []string {
+// unacknowledged returns the sorted VMs of the gates that hold a lease and have
+// not acknowledged the revision. It deletes expired leases.
+func (g *gateLeases) unacknowledged(revision uint64, now time.Time) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var vms []string
 	for vm, lease := range g.gates {
 		switch {
-		case now.After(lease.until):
+		case now.After(lease.expires):
 			delete(g.gates, vm)
 		case lease.applied < revision:
 			vms = append(vms, vm)
--- a/internal/keeper/gauges.go
+++ b/internal/keeper/gauges.go
@@ -7,17 +7,17 @@
 	"slateway.example/slateway/internal/job"
 )
 
-// gaugeInterval is how often the gauges are set.
+// gaugeInterval is the minimum time between updates of the gauges.
 const gaugeInterval = time.Second
 
-// showState sets the gauges of this VM's job groups, whether it leads them or
-// not. The dropped results are counted in the replicated state, so they stay
-// over restarts and are equal on all keepers.
-func (s *Service) showState(now time.Time) {
-	if now.Sub(s.lastGauges) < gaugeInterval {
+// updateGauges publishes the totals of all job groups, including those that this
+// VM does not lead. Dropped results are counted in the replicated state, so the
+// counts survive restarts and are equal on all keepers.
+func (s *Service) updateGauges(now time.Time) {
+	if now.Sub(s.lastGaugeUpdate) < gaugeInterval {
 		return
 	}
-	s.lastGauges = now
+	s.lastGaugeUpdate = now
 	var total job.Counts
 	claims := 0
 	for _, machine := range s.options.Jobs {
--- a/internal/keeper/jobcalls.go
+++ b/internal/keeper/jobcalls.go
@@ -144,7 +144,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.touch(request.Group, request.Session, time.Now())
+	s.recordContact(request.Group, request.Session, time.Now())
 	opened := &openSession{Session: request.Session, VM: request.VM, Started: request.Started}
 	replaced := machine.replacedBy(opened.run())
 	if _, err := s.propose(ctx, request.Group, command{OpenSession: opened}); err != nil {
@@ -175,7 +175,7 @@
 		return nil, err
 	}
 	machine.read(func(jobs *job.Table, _ *claim.Table) { response.Ended = jobs.EndedAmong(request.Running) })
-	s.touch(request.Group, request.Session, time.Now())
+	s.recordContact(request.Group, request.Session, time.Now())
 	return response, nil
 }
 
@@ -188,14 +188,14 @@
 	}
 	timer := time.NewTimer(min(request.Wait, maxWait))
 	defer timer.Stop()
-	defer s.offers.wait(request.Group, request.Session, request.Wants)()
+	defer s.offers.addWaiter(request.Group, request.Session, request.Wants)()
 	for {
 		changed := machine.changed.wait()
 		now := time.Now()
-		if s.offers.take(request.Group, request.Session, request.Wants, machine.readyItems, now) {
+		if s.offers.makeOffer(request.Group, request.Session, request.Wants, machine.readyItems, now) {
 			return &keeperapi.AwaitWorkResponse{Available: true}, nil
 		}
-		again := time.NewTimer(s.offers.nextEnd(request.Group, now))
+		again := time.NewTimer(s.offers.nextExpiry(request.Group, now))
 		select {
 		case <-changed:
 		case <-again.C:
@@ -218,11 +218,11 @@
 	if err := machine.checkSession(request.Session); err != nil {
 		return nil, err
 	}
-	s.touch(request.Group, request.Session, time.Now())
-	defer s.offers.settle(request.Group, request.Session)
+	s.recordContact(request.Group, request.Session, time.Now())
+	defer s.offers.remove(request.Group, request.Session)
 	wants := boundWants(request.Wants)
 	if !machine.taken(request) { // a resend gets the same items
-		wants = s.offers.bound(request.Group, request.Session, wants, machine.readyItems, time.Now())
+		wants = s.offers.limitWants(request.Group, request.Session, wants, machine.readyItems, time.Now())
 		if !machine.hasWork(wants) {
 			return &keeperapi.LeaseResponse{}, nil
 		}
@@ -286,7 +286,7 @@
 	if _, err := s.machine(request.Group); err != nil {
 		return nil, err
 	}
-	s.touch(request.Group, request.Session, time.Now())
+	s.recordContact(request.Group, request.Session, time.Now())
 	_, err := s.propose(ctx, request.Group, command{Complete: &completeItems{Session: request.Session, Results: request.Results}})
 	return &keeperapi.CompleteResponse{}, err
 }
--- a/internal/keeper/leadership.go
+++ b/internal/keeper/leadership.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	// tickInterval is how often Run looks at leadership, leases and retention.
+	// tickInterval is how often Run checks leadership, leases and retention.
 	tickInterval = 50 * time.Millisecond
-	// maxTickGap is the longest gap between ticks in which nothing can have been
-	// missed: an election needs longer.
+	// maxTickGap is the longest gap between ticks in which no change of leadership
+	// can be missed: an election takes longer.
 	maxTickGap = 500 * time.Millisecond
-	// proposeTimeout bounds the service's own proposals.
+	// proposeTimeout limits the proposals that the service makes on its own.
 	proposeTimeout = 5 * time.Second
-	// expireInterval is how often ended jobs and claims are looked at.
+	// expireInterval is the minimum time between checks for expired jobs and claims.
 	expireInterval = 500 * time.Millisecond
 )
 
-// leadership is what this VM knows as the leader of a group.
+// leadership is this VM's volatile state as the leader of a group.
 type leadership struct {
-	leads      bool
-	term       uint64
-	since      time.Time
-	heard      map[job.SessionID]time.Time // sessions of the group
-	ending     bool                        // a proposal that ends sessions is on its way
-	lastExpire time.Time
-	// confirmed is the term in which a read barrier has passed, zero if none.
+	leads       bool
+	term        uint64
+	since       time.Time
+	lastContact map[job.SessionID]time.Time // by session of the group
+	endInFlight bool                        // a proposal to end sessions is in flight
+	lastExpire  time.Time
+	// confirmed is the last term in which a read barrier succeeded, zero if none.
 	confirmed uint64
 }
 
-// Run keeps track of leadership and ends sessions, jobs and claims whose time is
-// over, until ctx ends.
+// Run tracks leadership and ends expired sessions and tenures and deletes expired
+// jobs and claims, until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -51,27 +51,26 @@
 }
 
 func (s *Service) tick(ctx context.Context, now time.Time) {
-	// A process that was stopped for seconds wakes up with the clock far ahead.
-	// It would end the sessions of all gates, which could not reach it
-	// meanwhile. It starts over as a new leader.
-	paused := now.Sub(s.previousTick(now)) > maxTickGap
+	// After a pause of the process, the gates' sessions would look expired although
+	// the gates only failed to reach it. So a paused leader starts over as a new one.
+	paused := now.Sub(s.recordTick(now)) > maxTickGap
 	for group := range s.options.Proposer.Groups() {
 		if !s.updateLeadership(group, now, paused) {
 			continue
 		}
 		if group == keeperapi.ConfigGroup {
-			s.endSilentTenures(ctx, now)
+			s.endExpiredTenures(ctx, now)
 			continue
 		}
-		s.endSilentSessions(ctx, group, now)
-		s.expire(ctx, group, now)
+		s.endExpiredSessions(ctx, group, now)
+		s.deleteExpired(ctx, group, now)
 	}
-	s.showState(now)
+	s.updateGauges(now)
 }
 
-// termOf gives the term in which this VM leads a group; ok is false if it does
-// not. Leadership that was lost and won again between two looks shows in the
-// term alone.
+// termOf returns the term in which this VM leads a group; ok is false if it does
+// not lead it. Only the term shows that leadership was lost and regained between
+// two ticks.
 func (s *Service) termOf(group uint32) (term uint64, ok bool) {
 	if host, found := s.options.Proposer.(interface{ Status() []replica.GroupStatus }); found {
 		status := host.Status()[group]
@@ -81,7 +80,7 @@
 	return 0, known && leader.ID == s.options.Self
 }
 
-func (s *Service) previousTick(now time.Time) time.Time {
+func (s *Service) recordTick(now time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	previous := s.lastTick
@@ -92,15 +91,17 @@
 	return previous
 }
 
-// updateLeadership notes whether this VM leads the group and since when.
+// updateLeadership records and returns whether this VM leads the group. It resets
+// the start time and the session contacts if leadership is new or the process was
+// paused.
 func (s *Service) updateLeadership(group uint32, now time.Time, paused bool) bool {
 	term, leads := s.termOf(group)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	current := &s.leading[group]
+	current := &s.leaderships[group]
 	if leads && (!current.leads || current.term != term || paused) {
 		current.since = now
-		current.heard = make(map[job.SessionID]time.Time)
+		current.lastContact = make(map[job.SessionID]time.Time)
 	}
 	if leads != current.leads {
 		s.options.Log.Info("leadership changed", zap.Uint32("group", group), zap.Bool("leads", leads))
@@ -109,18 +110,18 @@
 	return leads
 }
 
-// leadingSince tells since when this VM has led the group, if the last tick saw
-// the term in which it leads now.
+// leadingSince returns the time since which this VM has led the group. The result
+// is valid only if the last tick saw the current term.
 func (s *Service) leadingSince(group uint32) (time.Time, bool) {
 	term, leads := s.termOf(group)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	current := &s.leading[group]
+	current := &s.leaderships[group]
 	return current.since, leads && current.leads && current.term == term
 }
 
-// requireLeader refuses a call if this VM does not believe that it leads the
-// group; a leader that was replaced may not know it yet.
+// requireLeader returns a NotLeaderError if this VM does not believe that it leads
+// the group. A deposed leader may not know yet that it was replaced.
 func (s *Service) requireLeader(group uint32) error {
 	if _, leads := s.termOf(group); leads {
 		return nil
@@ -129,7 +130,7 @@
 	return &replica.NotLeaderError{Group: group, Leader: leader, Address: leader.Address}
 }
 
-// leaderHint gives the member to send a caller to; zero if none is known.
+// leaderHint returns the member to redirect a caller to, zero if none is known.
 func (s *Service) leaderHint(group uint32) replica.Member {
 	if host, found := s.options.Proposer.(interface {
 		LeaderHint(group uint32) (replica.Member, bool)
@@ -141,105 +142,107 @@
 	return leader
 }
 
-// termConfirmed reports whether this VM leads the group in a term in which a
-// read barrier has passed.
+// termConfirmed reports whether this VM leads the group and a read barrier has
+// succeeded in the current term.
 func (s *Service) termConfirmed(group uint32) bool {
 	term, leads := s.termOf(group)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	current := &s.leading[group]
+	current := &s.leaderships[group]
 	return leads && current.leads && term != 0 && current.confirmed == term
 }
 
-// confirmTerm notes that a read barrier has passed which began in a term. If the
-// term changed meanwhile, the barrier says nothing of the present one.
+// confirmTerm records that a read barrier that started in the given term has
+// succeeded. It does not confirm a later term that began in the meantime.
 func (s *Service) confirmTerm(group uint32, term uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leading[group].confirmed = term
+	s.leaderships[group].confirmed = term
 }
 
-// touch notes that a session of a group was heard of.
-func (s *Service) touch(group uint32, session job.SessionID, now time.Time) {
+// recordContact records the last contact of a session.
+func (s *Service) recordContact(group uint32, session job.SessionID, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if heard := s.leading[group].heard; heard != nil {
-		heard[session] = now
+	if contacts := s.leaderships[group].lastContact; contacts != nil {
+		contacts[session] = now
 	}
 }
 
-// endSilentSessions ends the sessions that were not renewed for their TTL.
-func (s *Service) endSilentSessions(ctx context.Context, group uint32, now time.Time) {
+// endExpiredSessions proposes to end the sessions that were not renewed within
+// their TTL. At most one such proposal per group is in flight.
+func (s *Service) endExpiredSessions(ctx context.Context, group uint32, now time.Time) {
 	machine, err := s.machine(group)
 	if err != nil {
 		return
 	}
-	var silent []job.SessionID
+	var expired []job.SessionID
 	sessions := machine.sessions()
 	s.mu.Lock()
-	current := &s.leading[group]
-	silent = current.silent(sessions, now, s.options.SessionTTL)
-	if current.ending || len(silent) == 0 {
+	current := &s.leaderships[group]
+	expired = current.expiredSessions(sessions, now, s.options.SessionTTL)
+	if current.endInFlight || len(expired) == 0 {
 		s.mu.Unlock()
 		return
 	}
-	current.ending = true
+	current.endInFlight = true
 	s.mu.Unlock()
-	s.options.Log.Info("sessions end: their gates were not heard of", zap.Uint32("group", group), zap.Any("sessions", silent))
-	go s.endSessions(ctx, group, silent)
+	s.options.Log.Info("ending sessions: their gates did not renew them in time", zap.Uint32("group", group), zap.Any("sessions", expired))
+	go s.endSessions(ctx, group, expired)
 }
 
 func (s *Service) endSessions(ctx context.Context, group uint32, sessions []job.SessionID) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	if _, err := s.propose(ctx, group, command{EndSessions: sessions}); err != nil {
-		s.options.Log.Warn("sessions not ended yet", zap.Uint32("group", group), zap.Error(err))
+		s.options.Log.Warn("failed to end sessions, will retry", zap.Uint32("group", group), zap.Error(err))
 	}
 	s.mu.Lock()
-	s.leading[group].ending = false
+	s.leaderships[group].endInFlight = false
 	s.mu.Unlock()
 }
 
-// silent lists the sessions not heard of for ttl, and forgets ended ones. A
-// session that this leader has not heard of yet gets a full TTL from now on.
-func (l *leadership) silent(open []job.SessionID, now time.Time, ttl time.Duration) []job.SessionID {
-	var silent []job.SessionID
-	heard := make(map[job.SessionID]time.Time, len(open))
+// expiredSessions returns the open sessions without contact for ttl, and drops the
+// contacts of ended ones. A session that has not contacted this leader yet gets a
+// full TTL from now on.
+func (l *leadership) expiredSessions(open []job.SessionID, now time.Time, ttl time.Duration) []job.SessionID {
+	var expired []job.SessionID
+	contacts := make(map[job.SessionID]time.Time, len(open))
 	for _, session := range open {
-		at, found := l.heard[session]
+		at, found := l.lastContact[session]
 		if !found {
 			at = now
 		}
-		heard[session] = at
+		contacts[session] = at
 		if now.Sub(at) > ttl {
-			silent = append(silent, session)
+			expired = append(expired, session)
 		}
 	}
-	l.heard = heard
-	return silent
+	l.lastContact = contacts
+	return expired
 }
 
-// expire deletes the jobs and claims whose retention is over.
-func (s *Service) expire(ctx context.Context, group uint32, now time.Time) {
+// deleteExpired proposes to delete the jobs and claims whose retention has ended.
+func (s *Service) deleteExpired(ctx context.Context, group uint32, now time.Time) {
 	machine, err := s.machine(group)
 	if err != nil {
 		return
 	}
 	s.mu.Lock()
-	current := &s.leading[group]
-	wait := now.Sub(current.lastExpire) < expireInterval
-	if !wait {
+	current := &s.leaderships[group]
+	recent := now.Sub(current.lastExpire) < expireInterval
+	if !recent {
 		current.lastExpire = now
 	}
 	s.mu.Unlock()
-	if wait || !machine.expired(s.clock.Now()) {
+	if recent || !machine.expired(s.clock.Now()) {
 		return
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 		defer cancel()
 		if _, err := s.propose(ctx, group, command{Expire: true}); err != nil {
-			s.options.Log.Warn("ended jobs not deleted yet", zap.Uint32("group", group), zap.Error(err))
+			s.options.Log.Warn("failed to delete expired jobs and claims, will retry", zap.Uint32("group", group), zap.Error(err))
 		}
 	}()
 }
--- a/internal/keeper/notifier.go
+++ b/internal/keeper/notifier.go
@@ -2,13 +2,14 @@
 
 import "sync"
 
-// notifier wakes those who wait for a change of state.
+// notifier wakes goroutines that wait for a state change. The zero value is
+// ready to use.
 type notifier struct {
 	mu sync.Mutex
 	ch chan struct{}
 }
 
-// wait gives a channel that closes at the next notify.
+// wait returns a channel that the next notify closes.
 func (n *notifier) wait() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/keeper/offers.go
+++ b/internal/keeper/offers.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	// offerTime is how long items are kept for a gate that was told of them, several
-	// times as long as a lease takes; one that comes later finds what is left.
-	offerTime = 250 * time.Millisecond
-	// noOffers is how long to wait for the end of an offer when there is none.
-	noOffers = time.Hour
+	// offerTTL is how long items are held for the gate that they were offered to. It
+	// is several times the duration of a lease request. A gate that asks later gets
+	// what is left.
+	offerTTL = 250 * time.Millisecond
+	// noOfferWait is the wait for the next expiry of an offer when none is open.
+	noOfferWait = time.Hour
 )
 
-// offers shares the items out among the gates that wait for some: the emptiest
-// gates are told first, each of no more than its share.
+// offers distributes items among the gates that wait for some. The least loaded
+// gates get an offer first, each for no more than its share.
 //
-// It guards against a herd: each new job would wake all waiting gates, all would ask
-// for items at the same time, and the leader would spend its processor on sending
-// most of them away with nothing. It also guards against a job whose items all go to
-// the gate that asks first, which fills its engines while others stand idle: each
-// item then takes several times as long, and online requests preempt it.
+// This prevents a thundering herd, in which a new job wakes all waiting gates, all
+// of them ask for items at once, and the leader spends its CPU time on empty
+// answers. It also keeps the first gate from leasing all items of a job: its engines
+// would be full while others are idle, each item would take several times as long,
+// and online requests would preempt it.
 //
-// An offer is a hint and binds nobody: what a gate does not take is told to the
-// next one when the offer ends.
+// An offer is a hint and not binding. Items that a gate does not lease are offered
+// to the next one when the offer expires.
 type offers struct {
 	mu      sync.Mutex
 	open    map[offerKey]offer
@@ -38,20 +39,20 @@
 }
 
 type offer struct {
-	until time.Time
-	items []job.Want // promised, by queue
+	expires time.Time
+	items   []job.Want // number offered, by queue
 }
 
-// readyItems counts the items of a queue that can be leased, up to limit.
+// readyItems returns the number of items of a queue that can be leased, up to limit.
 type readyItems func(queue job.Queue, limit int) int
 
 func newOffers() *offers {
 	return &offers{open: make(map[offerKey]offer), waiting: make(map[offerKey][]job.Want)}
 }
 
-// wait notes that a session waits for items until done is called. One that was told
-// of items and asks again takes its offer back: they are gone, or not to its liking.
-func (o *offers) wait(group uint32, session job.SessionID, wants []job.Want) (done func()) {
+// addWaiter records that a session waits for items until done is called. It drops an
+// open offer of the session: a gate that waits again did not get or want the items.
+func (o *offers) addWaiter(group uint32, session job.SessionID, wants []job.Want) (done func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	key := offerKey{group, session}
@@ -64,30 +65,31 @@
 	}
 }
 
-// take tells whether there is an item for the waiting session that no other one was
-// told of and no emptier one waits for, and keeps its share for it.
-func (o *offers) take(group uint32, session job.SessionID, wants []job.Want, ready readyItems, now time.Time) bool {
+// makeOffer reports whether there is an item for the waiting session that is not
+// offered to another one and that no less loaded session waits for. If so, it
+// offers the session its share.
+func (o *offers) makeOffer(group uint32, session job.SessionID, wants []job.Want, ready readyItems, now time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.expire(now)
 	key := offerKey{group, session}
 	var items []job.Want
 	for _, want := range wants {
-		if share := o.share(key, want, ready); share > 0 {
+		if share := o.fairShare(key, want, ready); share > 0 {
 			items = append(items, job.Want{Queue: want.Queue, Max: share})
 		}
 	}
 	if len(items) == 0 {
 		return false
 	}
-	o.open[key] = offer{until: now.Add(offerTime), items: items}
+	o.open[key] = offer{expires: now.Add(offerTTL), items: items}
 	delete(o.waiting, key)
 	return true
 }
 
-// bound limits the wants of a lease request to what the session was offered or,
-// without an offer, to its share of what others were not told of.
-func (o *offers) bound(group uint32, session job.SessionID, wants []job.Want, ready readyItems, now time.Time) []job.Want {
+// limitWants limits the wants of a lease request to the session's offer or, without
+// an offer, to its share of the items that are not offered to others.
+func (o *offers) limitWants(group uint32, session job.SessionID, wants []job.Want, ready readyItems, now time.Time) []job.Want {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.expire(now)
@@ -96,30 +98,30 @@
 	bounded := make([]job.Want, 0, len(wants))
 	for _, want := range wants {
 		if hasOffer {
-			want.Max = min(want.Max, promisedOf(offered.items, want.Queue))
+			want.Max = min(want.Max, countOffered(offered.items, want.Queue))
 		} else {
-			want.Max = o.share(key, want, ready)
+			want.Max = o.fairShare(key, want, ready)
 		}
 		bounded = append(bounded, want)
 	}
 	return bounded
 }
 
-// share gives how many items of the queue the session may have beside those that
-// wait with it.
-func (o *offers) share(key offerKey, want job.Want, ready readyItems) int {
-	promised := o.promised(key.group, want.Queue)
-	others, emptier := o.rivals(key, want)
-	free := ready(want.Queue, promised+want.Max*(others+1)) - promised
-	if free <= emptier {
+// fairShare returns the number of items of the queue that the session may lease,
+// given the other sessions that wait for them.
+func (o *offers) fairShare(key offerKey, want job.Want, ready readyItems) int {
+	offered := o.offeredIn(key.group, want.Queue)
+	others, lessLoaded := o.competitors(key, want)
+	free := ready(want.Queue, offered+want.Max*(others+1)) - offered
+	if free <= lessLoaded {
 		return 0
 	}
 	return min(want.Max, max(1, free/(others+1)))
 }
 
-// rivals counts the other sessions that wait for items of the queue, and those of
-// them that are emptier.
-func (o *offers) rivals(key offerKey, want job.Want) (others, emptier int) {
+// competitors returns the number of other sessions that wait for items of the queue,
+// and how many of them are less loaded.
+func (o *offers) competitors(key offerKey, want job.Want) (others, lessLoaded int) {
 	for other, wants := range o.waiting {
 		if other.group != key.group || other.session == key.session {
 			continue
@@ -129,17 +131,17 @@
 				continue
 			}
 			others++
-			if emptierThan(theirs, other.session, want, key.session) {
-				emptier++
+			if isLessLoaded(theirs, other.session, want, key.session) {
+				lessLoaded++
 			}
 		}
 	}
-	return others, emptier
+	return others, lessLoaded
 }
 
-// emptierThan orders waiting sessions by the part of their room that is filled;
-// equal ones by their names.
-func emptierThan(a job.Want, sessionA job.SessionID, b job.Want, sessionB job.SessionID) bool {
+// isLessLoaded orders waiting sessions by the fraction of their capacity in use, and
+// by name if that is equal.
+func isLessLoaded(a job.Want, sessionA job.SessionID, b job.Want, sessionB job.SessionID) bool {
 	filledA, filledB := a.Held*(b.Held+b.Max), b.Held*(a.Held+a.Max)
 	if filledA != filledB {
 		return filledA < filledB
@@ -147,7 +149,7 @@
 	return sessionA < sessionB
 }
 
-func promisedOf(items []job.Want, queue job.Queue) int {
+func countOffered(items []job.Want, queue job.Queue) int {
 	count := 0
 	for _, item := range items {
 		if item.Queue == queue {
@@ -157,21 +159,21 @@
 	return count
 }
 
-// settle ends the session's offer: it has leased what it wanted.
-func (o *offers) settle(group uint32, session job.SessionID) {
+// remove deletes the session's offer after its lease request.
+func (o *offers) remove(group uint32, session job.SessionID) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.open, offerKey{group, session})
 }
 
-// nextEnd is how long until the first offer in the group ends.
-func (o *offers) nextEnd(group uint32, now time.Time) time.Duration {
+// nextExpiry returns the time until the first offer in the group expires.
+func (o *offers) nextExpiry(group uint32, now time.Time) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	next := noOffers
+	next := noOfferWait
 	for key, offer := range o.open {
 		if key.group == group {
-			next = min(next, max(offer.until.Sub(now), time.Millisecond))
+			next = min(next, max(offer.expires.Sub(now), time.Millisecond))
 		}
 	}
 	return next
@@ -179,19 +181,19 @@
 
 func (o *offers) expire(now time.Time) {
 	for key, offer := range o.open {
-		if !now.Before(offer.until) {
+		if !now.Before(offer.expires) {
 			delete(o.open, key)
 		}
 	}
 }
 
-func (o *offers) promised(group uint32, queue job.Queue) int {
+func (o *offers) offeredIn(group uint32, queue job.Queue) int {
 	count := 0
 	for key, offer := range o.open {
 		if key.group != group {
 			continue
 		}
-		count += promisedOf(offer.items, queue)
+		count += countOffered(offer.items, queue)
 	}
 	return count
 }
--- a/internal/keeper/offers_test.go
+++ b/internal/keeper/offers_test.go
@@ -28,17 +28,17 @@
 func leaseAll(o *offers, s *stock, gates int, wants func(i int) []job.Want, now time.Time) []int {
 	got := make([]int, gates)
 	for i := range gates {
-		o.wait(1, gateSession(i), wants(i))
+		o.addWaiter(1, gateSession(i), wants(i))
 	}
 	for i := range gates {
-		if !o.take(1, gateSession(i), wants(i), s.ready, now) {
+		if !o.makeOffer(1, gateSession(i), wants(i), s.ready, now) {
 			continue
 		}
-		got[i] = o.bound(1, gateSession(i), wants(i), s.ready, now)[0].Max
+		got[i] = o.limitWants(1, gateSession(i), wants(i), s.ready, now)[0].Max
 	}
 	for i := range gates {
 		*s -= stock(got[i])
-		o.settle(1, gateSession(i))
+		o.remove(1, gateSession(i))
 	}
 	return got
 }
@@ -74,7 +74,7 @@
 			t.Errorf("gate %d got %d of 8", i, count)
 		}
 	}
-	if got := o.bound(1, "another", wantOf(5, 3), s.ready, offersStart)[0].Max; got != 5 {
+	if got := o.limitWants(1, "another", wantOf(5, 3), s.ready, offersStart)[0].Max; got != 5 {
 		t.Errorf("a gate that asks without waiting gets %d of 5", got)
 	}
 }
@@ -82,22 +82,22 @@
 // Guards against items that wait for a gate that was told of them and does not come.
 func TestItemsOfAGateThatDoesNotComeGoToTheNext(t *testing.T) {
 	o, s := newOffers(), stock(1)
-	o.wait(1, "frozen", wantOf(9, 0))
-	o.wait(1, "other", wantOf(4, 5))
-	if o.take(1, "other", wantOf(4, 5), s.ready, offersStart) {
+	o.addWaiter(1, "frozen", wantOf(9, 0))
+	o.addWaiter(1, "other", wantOf(4, 5))
+	if o.makeOffer(1, "other", wantOf(4, 5), s.ready, offersStart) {
 		t.Fatal("a fuller gate is told first")
 	}
-	if !o.take(1, "frozen", wantOf(9, 0), s.ready, offersStart) {
+	if !o.makeOffer(1, "frozen", wantOf(9, 0), s.ready, offersStart) {
 		t.Fatal("the emptiest gate is not told")
 	}
-	if got := o.bound(1, "third", wantOf(9, 0), s.ready, offersStart)[0].Max; got != 0 {
+	if got := o.limitWants(1, "third", wantOf(9, 0), s.ready, offersStart)[0].Max; got != 0 {
 		t.Errorf("another gate may lease %d items that are promised", got)
 	}
-	later := offersStart.Add(offerTime)
-	if end := o.nextEnd(1, offersStart); end > offerTime {
+	later := offersStart.Add(offerTTL)
+	if end := o.nextExpiry(1, offersStart); end > offerTTL {
 		t.Errorf("the next gate is told after %s", end)
 	}
-	if !o.take(1, "other", wantOf(4, 5), s.ready, later) {
+	if !o.makeOffer(1, "other", wantOf(4, 5), s.ready, later) {
 		t.Error("the item is told to nobody else")
 	}
 }
--- a/internal/keeper/partcache.go
+++ b/internal/keeper/partcache.go
@@ -8,15 +8,16 @@
 	"slateway.example/slateway/internal/job"
 )
 
-// maxCachedParts bounds the decoded parts in memory: one for each job that is
-// leased from at the same time, and at most 4 MB each.
+// maxCachedParts limits the decoded parts in memory, of at most 4 MB each. Each
+// job from which items are being leased needs one.
 const maxCachedParts = 8
 
-// partCache keeps the parts read last. Items of a part are leased one after the
-// other, and decoding it once for each lease would cost more than all else.
+// partCache is an LRU cache of decoded parts. Items of a part are leased one
+// after the other, and decoding the part for each lease would dominate the cost
+// of a lease.
 type partCache struct {
 	mu    sync.Mutex
-	parts []cachedPart // last used first
+	parts []cachedPart // most recently used first
 }
 
 type cachedPart struct {
@@ -27,7 +28,7 @@
 
 func newPartCache() *partCache { return &partCache{} }
 
-// item gives the request of a leased item.
+// item returns the request of a leased item.
 func (c *partCache) item(machine *JobMachine, group uint32, leased job.Leased) (job.Item, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -41,7 +42,7 @@
 	return items[leased.Index], nil
 }
 
-// part gives the items of a part; they must not be changed.
+// part returns the items of a part. The caller must not modify them.
 func (c *partCache) part(machine *JobMachine, group uint32, ref job.Ref) ([]job.Item, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/keeper/service.go
+++ b/internal/keeper/service.go
@@ -56,12 +56,12 @@
 	parts   *partCache
 	offers  *offers
 
-	mu       sync.Mutex
-	leading  []leadership // by group
-	lastTick time.Time
+	mu          sync.Mutex
+	leaderships []leadership // by group
+	lastTick    time.Time
 
-	lastGauges time.Time              // of Run alone
-	tenures    map[string]heardTenure // by the name of the right
+	lastGaugeUpdate time.Time                // of Run alone
+	tenureContacts  map[string]tenureContact // by the name of the right
 }
 
 // NewService makes a service; Mount attaches it to a server.
@@ -79,13 +79,13 @@
 		options.Metrics = telemetry.NewMetrics()
 	}
 	return &Service{
-		options: options,
-		clock:   instant.NewClock(),
-		gates:   newGateLeases(),
-		parts:   newPartCache(),
-		offers:  newOffers(),
-		leading: make([]leadership, options.Proposer.Groups()),
-		tenures: make(map[string]heardTenure),
+		options:        options,
+		clock:          instant.NewClock(),
+		gates:          newGateLeases(),
+		parts:          newPartCache(),
+		offers:         newOffers(),
+		leaderships:    make([]leadership, options.Proposer.Groups()),
+		tenureContacts: make(map[string]tenureContact),
 	}
 }
 
--- a/internal/keeper/tenures.go
+++ b/internal/keeper/tenures.go
@@ -12,33 +12,34 @@
 	"slateway.example/slateway/internal/tenure"
 )
 
-// acquireTenure is the log entry of a grant.
+// acquireTenure is the log entry that grants a tenure.
 type acquireTenure struct {
 	Name   string `cbor:"1,keyasint"`
 	Holder string `cbor:"2,keyasint"`
 }
 
-// endTenure is the log entry of a grant's end.
+// endTenure is the log entry that ends a grant.
 type endTenure struct {
 	Name  string `cbor:"1,keyasint"`
 	Fence uint64 `cbor:"2,keyasint"`
 }
 
-// heardTenure is when the holder of a right's last grant was heard of.
-type heardTenure struct {
+// tenureContact is the last contact of the holder of a grant.
+type tenureContact struct {
 	fence uint64
 	at    time.Time
 }
 
-// acquireTenure grants a free right, or renews it for its holder.
+// acquireTenure grants a free tenure, an exclusive right with a fencing number,
+// or renews it for its holder.
 //
-// Renewals stay out of the log, as those of gates' sessions do. The holder
-// counts its lease from before it asked; here silence counts from the last call
-// or, on a new leader, from the begin of its term, and for longer. So the grant
-// ends for its holder before it can be given to another.
+// Renewals are not logged, like those of sessions. The holder's lease starts
+// before it sends its request. The leader's timeout is longer and starts at the
+// last call, or at the beginning of its term on a new leader. The holder's lease
+// therefore expires before another holder can be granted the tenure.
 func (s *Service) acquireTenure(ctx context.Context, request *keeperapi.TenureRequest) (*keeperapi.TenureResponse, error) {
 	if request.Name == "" || request.Holder == "" {
-		return nil, apierr.New(apierr.Invalid, keeperapi.ReasonInvalidRequest, "name the right and its holder", "the call names no right or no holder")
+		return nil, apierr.New(apierr.Invalid, keeperapi.ReasonInvalidRequest, "set the name of the tenure and its holder", "the tenure request has no name or no holder")
 	}
 	if err := s.options.Proposer.ReadBarrier(ctx, keeperapi.ConfigGroup); err != nil {
 		return nil, err
@@ -59,7 +60,7 @@
 	if grant.Holder != request.Holder {
 		return &keeperapi.TenureResponse{Holder: grant.Holder}, nil
 	}
-	s.touchTenure(grant, time.Now())
+	s.recordTenureContact(grant, time.Now())
 	return &keeperapi.TenureResponse{Holder: grant.Holder, Fence: grant.Fence, Lease: s.options.TenureTTL}, nil
 }
 
@@ -78,42 +79,42 @@
 	return err
 }
 
-func (s *Service) touchTenure(grant tenure.Grant, now time.Time) {
+func (s *Service) recordTenureContact(grant tenure.Grant, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tenures[grant.Name] = heardTenure{fence: grant.Fence, at: now}
+	s.tenureContacts[grant.Name] = tenureContact{fence: grant.Fence, at: now}
 }
 
-// endSilentTenures ends the grants whose holders were not heard of for their
-// time and a margin for clocks of unlike speed.
-func (s *Service) endSilentTenures(ctx context.Context, now time.Time) {
-	const driftMargin = 8 // an eighth
+// endExpiredTenures ends the grants whose holders have not renewed them within
+// the TTL and a margin for clock drift.
+func (s *Service) endExpiredTenures(ctx context.Context, now time.Time) {
+	const driftMargin = 8 // one eighth of the TTL
 	limit := s.options.TenureTTL + s.options.TenureTTL/driftMargin
 	for _, grant := range s.options.Config.heldTenures() {
-		if now.Sub(s.tenureHeard(grant)) <= limit {
+		if now.Sub(s.lastTenureContact(grant)) <= limit {
 			continue
 		}
-		s.touchTenure(grant, now) // not again until this proposal had its time
-		s.options.Log.Info("right ends: its holder was not heard of", zap.String("right", grant.Name), zap.String("holder", grant.Holder))
+		s.recordTenureContact(grant, now) // gives this proposal a full TTL before the next one
+		s.options.Log.Info("ending tenure: its holder did not renew it in time", zap.String("right", grant.Name), zap.String("holder", grant.Holder))
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 			defer cancel()
 			if err := s.endTenure(ctx, grant); err != nil {
-				s.options.Log.Warn("right not ended yet", zap.String("right", grant.Name), zap.Error(err))
+				s.options.Log.Warn("failed to end tenure, will retry", zap.String("right", grant.Name), zap.Error(err))
 			}
 		}()
 	}
 }
 
-// tenureHeard gives when the holder was last heard of, at the earliest the
-// begin of this VM's leadership.
-func (s *Service) tenureHeard(grant tenure.Grant) time.Time {
+// lastTenureContact returns the time of the holder's last renewal, or the start
+// of this VM's leadership if that is later.
+func (s *Service) lastTenureContact(grant tenure.Grant) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	since := s.leading[keeperapi.ConfigGroup].since
-	heard := s.tenures[grant.Name]
-	if heard.fence != grant.Fence || since.After(heard.at) {
+	since := s.leaderships[keeperapi.ConfigGroup].since
+	contact := s.tenureContacts[grant.Name]
+	if contact.fence != grant.Fence || since.After(contact.at) {
 		return since
 	}
-	return heard.at
+	return contact.at
 }
