--- a/internal/keeper/command.go
+++ b/internal/keeper/command.go
@@ -16,9 +16,9 @@
 	Acquire *acquireTenure `cbor:"2,keyasint,omitempty"`
 	End     *endTenure     `cbor:"3,keyasint,omitempty"`
 
-	Routes *routes.Document `cbor:"4,keyasint,omitempty"` // unpacked; written by earlier versions only
-	Retire string           `cbor:"5,keyasint,omitempty"` // VM to decommission
-	Packed routes.Packed    `cbor:"6,keyasint,omitempty"` // routes
+	Routes       *routes.Document `cbor:"4,keyasint,omitempty"` // unpacked; written by earlier versions only
+	RetireVM     string           `cbor:"5,keyasint,omitempty"` // VM to decommission
+	PackedRoutes routes.Packed    `cbor:"6,keyasint,omitempty"` // routes
 }
 
 // command is a log entry of a job group: the time of the proposal and exactly
--- a/internal/keeper/configcalls.go
+++ b/internal/keeper/configcalls.go
@@ -11,8 +11,8 @@
 	"slateway.example/slateway/internal/team"
 )
 
-// maxWait bounds the long polls of all calls.
-const maxWait = 20 * time.Second
+// maxPollWait limits the wait of every long poll.
+const maxPollWait = 20 * time.Second
 
 func (s *Service) applyChange(ctx context.Context, change *team.Change) (*team.Outcome, error) {
 	data, err := s.options.Proposer.Propose(ctx, keeperapi.ConfigGroup, codec.MustMarshal(configCommand{Change: change}))
@@ -26,14 +26,14 @@
 	return &outcome, nil
 }
 
-// watchConfig renews the gate's lease and answers as soon as there is a
-// revision after the one it serves by.
+// watchConfig renews the gate's configuration lease and answers as soon as there
+// is a newer revision than the one that the gate serves, or when the wait ends.
 func (s *Service) watchConfig(ctx context.Context, request *keeperapi.WatchRequest) (*keeperapi.WatchResponse, error) {
 	if request.VM == "" {
-		return nil, apierr.New(apierr.Invalid, keeperapi.ReasonInvalidRequest, "name the gate's VM", "the watch names no VM")
+		return nil, apierr.New(apierr.Invalid, keeperapi.ReasonInvalidRequest, "set the VM of the gate", "the configuration watch has no VM")
 	}
-	// No barrier yet: the one after the wait decides whether there is a lease, and
-	// twice a second for each gate it was most of the leader's messages.
+	// The barrier after the wait is enough to protect the lease. Another one here,
+	// twice a second for each gate, caused most of the leader's messages.
 	if err := s.requireLeader(keeperapi.ConfigGroup); err != nil {
 		return nil, err
 	}
@@ -41,29 +41,31 @@
 		s.gates.remove(request.VM)
 		return &keeperapi.WatchResponse{}, nil
 	}
-	s.renewGate(request)
+	s.renewGateLease(request)
 	if !s.awaitRevision(ctx, request) {
 		return nil, ctx.Err()
 	}
-	// A leader that was cut off while the gate waited must not tell it that
-	// nothing changed: asked again, the majority would not confirm it.
+	// A leader that was partitioned during the wait must not report that nothing
+	// changed. The barrier fails then, as no majority confirms its leadership.
 	if err := s.options.Proposer.ReadBarrier(ctx, keeperapi.ConfigGroup); err != nil {
 		return nil, err
 	}
-	s.renewGate(request)
+	s.renewGateLease(request)
 	return &keeperapi.WatchResponse{Update: s.options.Config.since(request.Applied), Lease: s.options.ConfigLease}, nil
 }
 
-// renewGate notes the lease. Here it counts from now, which is after the gate
-// sent the request, and with a margin for clocks of unlike speed.
-func (s *Service) renewGate(request *keeperapi.WatchRequest) {
-	const driftMargin = 8 // an eighth
+// renewGateLease records the gate's lease. On the leader it starts now, which is
+// after the gate sent the request, and it includes a margin for clock drift, so it
+// ends after the lease that the gate itself assumes.
+func (s *Service) renewGateLease(request *keeperapi.WatchRequest) {
+	const driftMargin = 8 // one eighth of the lease
 	lease := s.options.ConfigLease + s.options.ConfigLease/driftMargin
 	s.gates.renew(request.VM, request.Applied, time.Now().Add(lease))
 }
 
-// awaitRevision waits for a revision that the gate does not have; false if the
-// gate gave up. The wait is well below the lease, which counts from before it.
+// awaitRevision waits for a revision that the gate does not have or for the end of
+// the wait. It returns false if the gate cancelled the call. The wait is much
+// shorter than the lease, because the lease starts before it.
 func (s *Service) awaitRevision(ctx context.Context, request *keeperapi.WatchRequest) bool {
 	timer := time.NewTimer(min(request.Wait, s.options.ConfigLease/4))
 	defer timer.Stop()
@@ -83,24 +85,25 @@
 }
 
 func (s *Service) changeStatus(ctx context.Context, request *keeperapi.ChangeStatusRequest) (*keeperapi.ChangeProgress, error) {
-	deadline := time.Now().Add(min(request.Wait, maxWait))
+	deadline := time.Now().Add(min(request.Wait, maxPollWait))
 	for {
 		changed := s.gates.changed.wait()
 		if err := s.options.Proposer.ReadBarrier(ctx, keeperapi.ConfigGroup); err != nil {
 			return nil, err
 		}
-		progress, err := s.progress(request.Revision, time.Now())
+		progress, err := s.changeProgress(request.Revision, time.Now())
 		if err != nil || progress.InForce || !time.Now().Before(deadline) {
 			return progress, err
 		}
-		if err := s.pause(ctx, changed); err != nil {
+		if err := s.awaitAcknowledgement(ctx, changed); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// pause waits for the next acknowledgement, or a while for leases to run out.
-func (s *Service) pause(ctx context.Context, changed <-chan struct{}) error {
+// awaitAcknowledgement waits for a change of the gates' leases, and at most for
+// four ticks, because leases may also expire.
+func (s *Service) awaitAcknowledgement(ctx context.Context, changed <-chan struct{}) error {
 	timer := time.NewTimer(4 * tickInterval)
 	defer timer.Stop()
 	select {
@@ -112,8 +115,9 @@
 	return nil
 }
 
-// progress tells how far a revision has come, as the confirmed leader knows.
-func (s *Service) progress(revision uint64, now time.Time) (*keeperapi.ChangeProgress, error) {
+// changeProgress returns the changeProgress of a revision. It must be called on a leader
+// that a read barrier has confirmed.
+func (s *Service) changeProgress(revision uint64, now time.Time) (*keeperapi.ChangeProgress, error) {
 	since, leads := s.leadingSince(keeperapi.ConfigGroup)
 	if !leads {
 		return nil, &replica.NotLeaderError{Group: keeperapi.ConfigGroup}
--- a/internal/keeper/configmachine.go
+++ b/internal/keeper/configmachine.go
@@ -19,11 +19,11 @@
 	tenures  *tenure.Table
 	routes   *routes.Registry
 	matcher  *routes.Matcher // of the routes in force
-	retired  []string        // VMs that are to hold nothing any more
+	retired  []string        // decommissioned VMs
 	changed  notifier
 }
 
-// NewConfigMachine makes an empty machine; it keeps no files.
+// NewConfigMachine creates an empty machine. It uses no files.
 func NewConfigMachine() *ConfigMachine {
 	m := &ConfigMachine{registry: team.NewRegistry(), tenures: &tenure.Table{}, routes: &routes.Registry{}}
 	m.setMatcher()
@@ -32,9 +32,9 @@
 
 var _ replica.Machine = (*ConfigMachine)(nil)
 
-// Apply executes a change and returns its encoded team.Outcome, a grant or its
-// end and returns the encoded tenure.Grant, or a replacement of the routes and
-// returns the encoded routes.Outcome.
+// Apply executes one operation and returns its encoded result: a team.Outcome for
+// a change, a tenure.Grant for the grant or end of a tenure, a routes.Outcome for
+// new routes, and the decommissioned VMs for a decommissioning.
 func (m *ConfigMachine) Apply(entry replica.Entry) []byte {
 	var cmd configCommand
 	err := codec.Unmarshal(entry.Data, &cmd)
@@ -45,10 +45,10 @@
 		return m.applyTenure(&cmd)
 	case err == nil && cmd.Routes != nil:
 		return m.applyRoutes(cmd.Routes)
-	case err == nil && len(cmd.Packed) > 0:
-		return m.applyPacked(entry.Index, cmd.Packed)
-	case err == nil && cmd.Retire != "":
-		return m.applyRetire(cmd.Retire)
+	case err == nil && len(cmd.PackedRoutes) > 0:
+		return m.applyPackedRoutes(entry.Index, cmd.PackedRoutes)
+	case err == nil && cmd.RetireVM != "":
+		return m.applyRetire(cmd.RetireVM)
 	default:
 		return codec.MustMarshal(team.Outcome{Refusal: unreadableCommand(entry.Index)})
 	}
@@ -63,15 +63,15 @@
 	return codec.MustMarshal(m.retired)
 }
 
-// Retired lists the VMs that are to hold nothing any more, as this VM has applied
-// the orders.
+// Retired returns the decommissioned VMs, according to the entries that this VM has
+// applied.
 func (m *ConfigMachine) Retired() []string {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return slices.Clone(m.retired)
 }
 
-func (m *ConfigMachine) applyPacked(index uint64, packed routes.Packed) []byte {
+func (m *ConfigMachine) applyPackedRoutes(index uint64, packed routes.Packed) []byte {
 	document, err := packed.Unpack()
 	if err != nil {
 		return codec.MustMarshal(routes.Outcome{Refusal: unreadableCommand(index)})
@@ -92,21 +92,22 @@
 	return codec.MustMarshal(outcome)
 }
 
-// setMatcher indexes a copy of the routes in force, since readers keep it over
-// the next change. The mutex is held.
+// setMatcher indexes a copy of the routes in force, because readers may keep the
+// matcher beyond the next change. The caller holds the mutex.
 func (m *ConfigMachine) setMatcher() {
-	held := *m.routes.Held()
-	m.matcher = routes.NewMatcher(&held)
+	document := *m.routes.Held()
+	m.matcher = routes.NewMatcher(&document)
 }
 
-// Routes gives the routes in force as this VM has applied them.
+// Routes returns the routes in force, according to the entries that this VM has
+// applied.
 func (m *ConfigMachine) Routes() *routes.Matcher {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.matcher
 }
 
-// Changed gives a channel that closes at the next change of the configuration.
+// Changed returns a channel that the next change of the configuration closes.
 func (m *ConfigMachine) Changed() <-chan struct{} { return m.changed.wait() }
 
 func (m *ConfigMachine) applyTenure(cmd *configCommand) []byte {
@@ -129,13 +130,13 @@
 	return codec.MustMarshal(outcome)
 }
 
-// unreadableCommand answers an entry that a newer version wrote. All replicas
-// of this version pass over it alike.
+// unreadableCommand returns the error for an entry that a newer version wrote. All
+// replicas of this version skip it alike.
 func unreadableCommand(index uint64) *apierr.Error {
-	return apierr.New(apierr.Internal, "unreadable_command", "run the same version on all keepers", "log entry %d cannot be read", index)
+	return apierr.New(apierr.Internal, "unreadable_command", "run the same version on all keepers", "log entry %d cannot be decoded", index)
 }
 
-// configState is the encoded state of the machine.
+// configState is the encoded form of a ConfigMachine.
 type configState struct {
 	Registry []byte `cbor:"1,keyasint"`
 	Tenures  []byte `cbor:"2,keyasint"`
@@ -144,7 +145,7 @@
 	Retired []string `cbor:"4,keyasint,omitempty"`
 }
 
-// Snapshot encodes the registry and the grants.
+// Snapshot encodes the whole state.
 func (m *ConfigMachine) Snapshot() (replica.Snapshot, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -156,7 +157,7 @@
 	return replica.Snapshot{State: codec.MustMarshal(state)}, nil
 }
 
-// Restore replaces the registry and the grants.
+// Restore replaces the state by that of a snapshot.
 func (m *ConfigMachine) Restore(s replica.Snapshot) error {
 	restored := NewConfigMachine()
 	if len(s.State) > 0 {
@@ -192,20 +193,21 @@
 	return nil
 }
 
-// tenure gives a grant as it is now.
+// tenure returns the current grant of a tenure.
 func (m *ConfigMachine) tenure(name string) tenure.Grant {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.tenures.Get(name)
 }
 
+// heldTenures returns the grants that have a holder.
 func (m *ConfigMachine) heldTenures() []tenure.Grant {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.tenures.Held()
 }
 
-// since gives the update after a revision.
+// since returns the update that leads from a revision to the current one.
 func (m *ConfigMachine) since(revision uint64) team.Update {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -218,7 +220,7 @@
 	return m.registry.Revision()
 }
 
-// fullCopy gives the whole configuration.
+// fullCopy returns the whole configuration.
 func (m *ConfigMachine) fullCopy() team.Update {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
--- a/internal/keeper/jobcalls.go
+++ b/internal/keeper/jobcalls.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	maxResults     = 10_000  // of one response
-	maxResultBytes = 4 << 20 // of one response, the last result excepted
-	maxLeasedItems = 256     // of one response
+	maxResults     = 10_000  // per response
+	maxResultBytes = 4 << 20 // per response, exceeded only by a single larger result
+	maxLeasedItems = 256     // per response
 )
 
 func (s *Service) createJob(ctx context.Context, spec *job.Spec) (*job.Status, error) {
@@ -40,9 +40,9 @@
 	return s.proposeStatus(ctx, request.Job, command{Cancel: request.Job})
 }
 
-// barrier gives the machine of a group, at least as new as what was answered to
-// anyone before the call.
-func (s *Service) barrier(ctx context.Context, group uint32) (*JobMachine, error) {
+// machineAfterBarrier returns the machine of a group after a read machineAfterBarrier: its
+// state includes everything that any caller was answered before this call.
+func (s *Service) machineAfterBarrier(ctx context.Context, group uint32) (*JobMachine, error) {
 	machine, err := s.machine(group)
 	if err != nil {
 		return nil, err
@@ -53,17 +53,18 @@
 	return machine, nil
 }
 
-// ownMachine gives the machine of a group that this VM leads, as new as the
-// group was when its term began.
+// leaderMachine returns the machine of a group that this VM leads, with all entries
+// from before its term applied.
 //
-// It asks the majority once a term, where barrier asks at each call: the calls
-// that idle gates make all the time would otherwise cost most of the messages
-// between keepers. A leader that was replaced without knowing it may answer by
-// it. So it serves hints only: a lease or a result needs the majority anyway,
-// and a heartbeat that such a leader takes renews nothing at the next one. A new
-// leader that has not applied the last entries yet would not know sessions that
-// are open, hence the question at the begin of its term.
-func (s *Service) ownMachine(ctx context.Context, group uint32) (*JobMachine, error) {
+// It runs one read barrier per term, not one per call as machineAfterBarrier does;
+// otherwise the periodic calls of idle gates would cause most of the messages
+// between keepers. The barrier is needed once, because a new leader that has not
+// applied the last entries would not know all open sessions.
+//
+// A leader that was replaced without noticing may still answer from this state, so
+// it is used for hints only: leases and results need a majority anyway, and a
+// heartbeat to a deposed leader renews nothing at its successor.
+func (s *Service) leaderMachine(ctx context.Context, group uint32) (*JobMachine, error) {
 	machine, err := s.machine(group)
 	if err != nil || s.termConfirmed(group) {
 		return machine, err
@@ -77,7 +78,7 @@
 }
 
 func (s *Service) jobStatus(ctx context.Context, request *keeperapi.JobRequest) (*job.Status, error) {
-	machine, err := s.barrier(ctx, s.groupOf(request.Job))
+	machine, err := s.machineAfterBarrier(ctx, s.groupOf(request.Job))
 	if err != nil {
 		return nil, err
 	}
@@ -91,7 +92,7 @@
 }
 
 func (s *Service) listJobs(ctx context.Context, request *keeperapi.ListJobsRequest) (*keeperapi.ListJobsResponse, error) {
-	machine, err := s.barrier(ctx, request.Group)
+	machine, err := s.machineAfterBarrier(ctx, request.Group)
 	if err != nil {
 		return nil, err
 	}
@@ -101,7 +102,7 @@
 }
 
 func (s *Service) results(ctx context.Context, request *keeperapi.ResultsRequest) (*keeperapi.ResultsResponse, error) {
-	machine, err := s.barrier(ctx, s.groupOf(request.Job))
+	machine, err := s.machineAfterBarrier(ctx, s.groupOf(request.Job))
 	if err != nil {
 		return nil, err
 	}
@@ -115,8 +116,8 @@
 	return machine.readResults(located)
 }
 
-// readResults reads located results. When they are too large for one response
-// it gives the first of them and where to go on.
+// readResults reads located results. If they are too large for one response, it
+// returns the first of them and the item to continue from.
 func (m *JobMachine) readResults(located job.Located) (*keeperapi.ResultsResponse, error) {
 	response := &keeperapi.ResultsResponse{Next: located.Next, End: located.End}
 	size := 0
@@ -146,12 +147,12 @@
 	}
 	s.recordContact(request.Group, request.Session, time.Now())
 	opened := &openSession{Session: request.Session, VM: request.VM, Started: request.Started}
-	replaced := machine.replacedBy(opened.run())
+	replaced := machine.replacedSessions(opened.run())
 	if _, err := s.propose(ctx, request.Group, command{OpenSession: opened}); err != nil {
 		return nil, err
 	}
 	if len(replaced) > 0 {
-		s.options.Log.Info("sessions end: their gate has started again", zap.Uint32("group", request.Group),
+		s.options.Log.Info("ending sessions: their gate has restarted", zap.Uint32("group", request.Group),
 			zap.String("session", string(request.Session)), zap.Any("sessions", replaced))
 	}
 	return &keeperapi.SessionResponse{TTL: s.options.SessionTTL}, nil
@@ -166,7 +167,7 @@
 }
 
 func (s *Service) heartbeat(ctx context.Context, request *keeperapi.HeartbeatRequest) (*keeperapi.HeartbeatResponse, error) {
-	machine, err := s.ownMachine(ctx, request.Group)
+	machine, err := s.leaderMachine(ctx, request.Group)
 	if err != nil {
 		return nil, err
 	}
@@ -179,14 +180,14 @@
 	return response, nil
 }
 
-// awaitWork waits on the state of the leader, so that idle gates cost no log
-// entries. It tells of an item only to as many gates as there are items.
+// awaitWork is a long poll on the leader's state, so that idle gates add no log
+// entries. It notifies at most as many gates as there are items.
 func (s *Service) awaitWork(ctx context.Context, request *keeperapi.AwaitWorkRequest) (*keeperapi.AwaitWorkResponse, error) {
-	machine, err := s.ownMachine(ctx, request.Group)
+	machine, err := s.leaderMachine(ctx, request.Group)
 	if err != nil {
 		return nil, err
 	}
-	timer := time.NewTimer(min(request.Wait, maxWait))
+	timer := time.NewTimer(min(request.Wait, maxPollWait))
 	defer timer.Stop()
 	defer s.offers.addWaiter(request.Group, request.Session, request.Wants)()
 	for {
@@ -195,23 +196,23 @@
 		if s.offers.makeOffer(request.Group, request.Session, request.Wants, machine.readyItems, now) {
 			return &keeperapi.AwaitWorkResponse{Available: true}, nil
 		}
-		again := time.NewTimer(s.offers.nextExpiry(request.Group, now))
+		expiry := time.NewTimer(s.offers.nextExpiry(request.Group, now))
 		select {
 		case <-changed:
-		case <-again.C:
+		case <-expiry.C:
 		case <-timer.C:
-			again.Stop()
+			expiry.Stop()
 			return &keeperapi.AwaitWorkResponse{}, nil
 		case <-ctx.Done():
-			again.Stop()
+			expiry.Stop()
 			return nil, ctx.Err()
 		}
-		again.Stop()
+		expiry.Stop()
 	}
 }
 
 func (s *Service) leaseItems(ctx context.Context, request *keeperapi.LeaseRequest) (*keeperapi.LeaseResponse, error) {
-	machine, err := s.barrier(ctx, request.Group)
+	machine, err := s.machineAfterBarrier(ctx, request.Group)
 	if err != nil {
 		return nil, err
 	}
@@ -220,8 +221,8 @@
 	}
 	s.recordContact(request.Group, request.Session, time.Now())
 	defer s.offers.remove(request.Group, request.Session)
-	wants := boundWants(request.Wants)
-	if !machine.taken(request) { // a resend gets the same items
+	wants := capWants(request.Wants)
+	if !machine.alreadyLeased(request) { // a resend gets the same items
 		wants = s.offers.limitWants(request.Group, request.Session, wants, machine.readyItems, time.Now())
 		if !machine.hasWork(wants) {
 			return &keeperapi.LeaseResponse{}, nil
@@ -230,7 +231,7 @@
 	return s.proposeLease(ctx, machine, request, wants)
 }
 
-// checkSession refuses a session that has ended.
+// checkSession returns an error if the session is not open.
 func (m *JobMachine) checkSession(session job.SessionID) error {
 	open := false
 	m.read(func(jobs *job.Table, _ *claim.Table) { open = jobs.HasSession(session) })
@@ -240,7 +241,8 @@
 	return nil
 }
 
-func boundWants(wants []job.Want) []job.Want {
+// capWants limits the wanted items to maxLeasedItems in total.
+func capWants(wants []job.Want) []job.Want {
 	left := maxLeasedItems
 	bounded := make([]job.Want, 0, len(wants))
 	for _, want := range wants {
@@ -251,9 +253,9 @@
 	return bounded
 }
 
-// taken reports whether the request got items before: a resend gets the same,
-// also when no others are left.
-func (m *JobMachine) taken(request *keeperapi.LeaseRequest) (taken bool) {
+// alreadyLeased reports whether the request has leased items before. A resend gets
+// the same items, even when no others are left.
+func (m *JobMachine) alreadyLeased(request *keeperapi.LeaseRequest) (taken bool) {
 	m.read(func(jobs *job.Table, _ *claim.Table) { taken = jobs.Taken(request.Session, request.Request) })
 	return taken
 }
@@ -269,15 +271,15 @@
 		if err != nil {
 			return nil, err
 		}
-		given := keeperapi.LeasedItem{Lease: leased, Item: item}
+		leasedItem := keeperapi.LeasedItem{Lease: leased, Item: item}
 		for _, ref := range leased.Partial {
 			piece, err := machine.files.ReadResult(ref)
 			if err != nil {
 				return nil, err
 			}
-			given.Partial = append(given.Partial, piece...)
+			leasedItem.Partial = append(leasedItem.Partial, piece...)
 		}
-		response.Items = append(response.Items, given)
+		response.Items = append(response.Items, leasedItem)
 	}
 	return response, nil
 }
--- a/internal/keeper/jobmachine.go
+++ b/internal/keeper/jobmachine.go
@@ -16,18 +16,18 @@
 type JobMachine struct {
 	files *files
 
-	mu      sync.RWMutex
-	jobs    *job.Table
-	claims  *claim.Table
-	last    instant.Micros // time of the newest command
-	changed notifier       // items may have become available, or a job ended
+	mu       sync.RWMutex
+	jobs     *job.Table
+	claims   *claim.Table
+	lastTime instant.Micros // time of the newest command
+	changed  notifier       // notified when items may have become available or a job may have ended
 }
 
 var _ replica.Machine = (*JobMachine)(nil)
 
-// NewJobMachine makes an empty machine that keeps its records in folder, which
-// must exist. When a file cannot be written or read it calls fail, which must
-// not return: a replica that went on would differ from the others.
+// NewJobMachine creates an empty machine that stores its records in folder, which
+// must exist. It calls fail when a file cannot be written or read. fail must not
+// return, because a replica that continued would diverge from the others.
 func NewJobMachine(folder string, fail func(error)) *JobMachine {
 	return newJobMachine(folder, blob.DefaultSegmentBytes, fail)
 }
@@ -46,19 +46,19 @@
 		return codec.MustMarshal(result{Refusal: unreadableCommand(entry.Index)})
 	}
 	m.mu.Lock()
-	// The clock of a new leader may be behind that of the last one. Time must
-	// not run backwards within the state, or a job could expire before it ended.
-	m.last = max(m.last, cmd.At)
-	answer := m.execute(&cmd, m.last)
+	// The clock of a new leader may be behind that of the previous one. If time ran
+	// backwards within the state, a job could expire before it ended.
+	m.lastTime = max(m.lastTime, cmd.At)
+	answer := m.execute(&cmd, m.lastTime)
 	m.mu.Unlock()
-	if cmd.frees() {
+	if cmd.affectsWaiters() {
 		m.changed.notify()
 	}
 	return codec.MustMarshal(answer)
 }
 
-// frees reports whether the command can make items available or end a job.
-func (c *command) frees() bool {
+// affectsWaiters reports whether the command can make items available or end a job.
+func (c *command) affectsWaiters() bool {
 	return c.Submit != nil || c.Expire || c.Seal != nil || c.Cancel != "" || c.OpenSession != nil || c.EndSessions != nil || c.Complete != nil
 }
 
@@ -117,8 +117,8 @@
 	Last   instant.Micros `cbor:"3,keyasint"`
 }
 
-// Snapshot syncs the files and encodes the state. It also deletes the files
-// that neither this snapshot nor the one before refers to.
+// Snapshot syncs the files and encodes the state. It also deletes the files to
+// which neither this snapshot nor the previous one refers.
 func (m *JobMachine) Snapshot() (replica.Snapshot, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -130,7 +130,7 @@
 	if err != nil {
 		return replica.Snapshot{}, err
 	}
-	state, err := codec.Marshal(jobState{Jobs: jobs, Claims: claims, Last: m.last})
+	state, err := codec.Marshal(jobState{Jobs: jobs, Claims: claims, Last: m.lastTime})
 	if err != nil {
 		return replica.Snapshot{}, err
 	}
@@ -149,7 +149,7 @@
 	}
 }
 
-// Restore replaces the state by a snapshot.
+// Restore replaces the state by that of a snapshot.
 func (m *JobMachine) Restore(s replica.Snapshot) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -159,7 +159,7 @@
 	}
 	m.jobs = job.NewTable(m.files)
 	m.claims = claim.NewTable(m.files)
-	m.last = 0
+	m.lastTime = 0
 	if len(s.State) == 0 {
 		return nil
 	}
@@ -179,30 +179,30 @@
 	if err != nil {
 		return err
 	}
-	m.jobs, m.claims, m.last = jobs, claims, state.Last
+	m.jobs, m.claims, m.lastTime = jobs, claims, state.Last
 	return nil
 }
 
-// read calls fn with the state held still.
+// read calls fn with the state locked for reading.
 func (m *JobMachine) read(fn func(jobs *job.Table, claims *claim.Table)) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	fn(m.jobs, m.claims)
 }
 
-// sessions lists the open sessions.
-// replacedBy lists the sessions of earlier runs of a gate.
-func (m *JobMachine) replacedBy(run job.Run) (replaced []job.SessionID) {
+// replacedSessions returns the sessions of earlier runs of a gate's process.
+func (m *JobMachine) replacedSessions(run job.Run) (replaced []job.SessionID) {
 	m.read(func(jobs *job.Table, _ *claim.Table) { replaced = jobs.Replaced(run) })
 	return replaced
 }
 
+// sessions returns the open sessions.
 func (m *JobMachine) sessions() (open []job.SessionID) {
 	m.read(func(jobs *job.Table, _ *claim.Table) { open = jobs.Sessions() })
 	return open
 }
 
-// expired reports whether the retention of a job or claim is over.
+// expired reports whether the retention of any job or claim has ended.
 func (m *JobMachine) expired(now instant.Micros) (expired bool) {
 	m.read(func(jobs *job.Table, claims *claim.Table) {
 		expired = jobs.Expired(now) || claims.Expired(now)
@@ -210,19 +210,20 @@
 	return expired
 }
 
-// hasWork reports whether there is an item to lease for one of the wants.
+// hasWork reports whether an item can be leased for one of the wants.
 func (m *JobMachine) hasWork(wants []job.Want) (found bool) {
 	m.read(func(jobs *job.Table, _ *claim.Table) { found = jobs.HasWork(wants) })
 	return found
 }
 
-// readyItems counts the items of a queue that can be leased now, up to limit.
+// readyItems returns the number of items of a queue that can be leased now, up to
+// limit.
 func (m *JobMachine) readyItems(queue job.Queue, limit int) (count int) {
 	m.read(func(jobs *job.Table, _ *claim.Table) { count = jobs.Ready(queue, limit) })
 	return count
 }
 
-// Close closes the files. The machine must not be used afterwards.
+// Close closes the files. The machine must not be used after that.
 func (m *JobMachine) Close() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/keeper/keeperapi/api.go
+++ b/internal/keeper/keeperapi/api.go
@@ -1,9 +1,9 @@
-// Package keeperapi defines the calls of the keeper service: its procedures and
-// their messages.
+// Package keeperapi defines the procedures of the keeper service and their
+// messages.
 //
 // Each group of the replicated state has one leader, which answers the calls for
-// it. Another keeper answers with NotLeader. All calls may be resent: those that
-// change state carry IDs by which a resend is known.
+// it. Other keepers answer with NotLeader. All calls may be resent: calls that
+// change state carry IDs by which a resend is recognized.
 package keeperapi
 
 import (
@@ -20,11 +20,11 @@
 	"slateway.example/slateway/internal/team"
 )
 
-// MaxMessageBytes bounds the body of a call: a part with the largest items, and
-// its encoding.
+// MaxMessageBytes limits the body of a call. It fits a part with the largest items
+// and the encoding overhead.
 const MaxMessageBytes = 8 << 20
 
-// MaxResultBytes bounds the answer to one item.
+// MaxResultBytes limits the answer to one item.
 const MaxResultBytes = 4 << 20
 
 // Reasons of this service's errors.
@@ -40,12 +40,12 @@
 // and claims.
 const ConfigGroup uint32 = 0
 
-// GroupOfJob gives the group of a job among groups.
+// GroupOfJob returns the group of a job, given the total number of groups.
 func GroupOfJob(id job.ID, groups uint32) uint32 {
 	return groupOf(xxhash.Sum64String(string(id)), groups)
 }
 
-// GroupOfClaim gives the group of a claim among groups.
+// GroupOfClaim returns the group of a claim, given the total number of groups.
 func GroupOfClaim(teamName, key string, groups uint32) uint32 {
 	return groupOf(xxhash.Sum64String(teamName+"\x00"+key), groups)
 }
@@ -57,14 +57,14 @@
 	return 1 + uint32(hash%uint64(groups-1))
 }
 
-// Reply is the answer of a keeper: Value, or NotLeader if another one leads the
+// Reply is the answer of a keeper: Value, or NotLeader if it does not lead the
 // group.
 type Reply[T any] struct {
 	Value     *T         `cbor:"1,keyasint,omitempty"`
 	NotLeader *NotLeader `cbor:"2,keyasint,omitempty"`
 }
 
-// NotLeader names the keeper to ask; nothing was done.
+// NotLeader redirects the caller to the leader. The call was not executed.
 type NotLeader struct {
 	Group   uint32 `cbor:"1,keyasint"`
 	Address string `cbor:"2,keyasint,omitempty"` // empty while none is known
@@ -94,10 +94,11 @@
 	FinishClaim   rpc.Procedure[claim.Finish, Reply[FinishClaimResponse]]   = "/slateway.keeper/FinishClaim"
 )
 
-// AcquireTenure grants or renews a right that one holder has at a time.
+// AcquireTenure grants, renews or releases a tenure: an exclusive right with a
+// fencing number, which has at most one holder at a time.
 const AcquireTenure rpc.Procedure[TenureRequest, Reply[TenureResponse]] = "/slateway.keeper/AcquireTenure"
 
-// Calls of the routes and of jobs that are handed in whole.
+// Procedures for routes and for jobs that are submitted whole.
 const (
 	ReplaceRoutes rpc.Procedure[routes.Document, Reply[routes.Outcome]]         = "/slateway.keeper/ReplaceRoutes"
 	ReadRoutes    rpc.Procedure[ReadRoutesRequest, Reply[ReadRoutesResponse]]   = "/slateway.keeper/ReadRoutes"
@@ -106,119 +107,122 @@
 	ReadItem      rpc.Procedure[ReadItemRequest, Reply[ReadItemResponse]]       = "/slateway.keeper/ReadItem"
 )
 
-// RetireVM orders that a VM is to hold nothing any more.
+// RetireVM decommissions a VM, which must then hold no replicated state.
 const RetireVM rpc.Procedure[RetireRequest, Reply[RetireResponse]] = "/slateway.keeper/RetireVM"
 
-// RetireRequest names the VM.
+// RetireRequest is the request of RetireVM.
 type RetireRequest struct {
 	VM string
 }
 
-// RetireResponse says that the order lasts.
+// RetireResponse confirms that the decommissioning is committed.
 type RetireResponse struct{}
 
-// ReadRoutesRequest asks for the routes in force.
+// ReadRoutesRequest is the request for the routes in force.
 type ReadRoutesRequest struct {
-	// Known is a version that the caller has; if it is in force, its number alone is
-	// the answer. Zero: none.
+	// Known is a version that the caller has, zero if none. If it is in force, the
+	// response contains the version number only.
 	Known uint64 `cbor:"1,keyasint,omitempty"`
 }
 
-// ReadRoutesResponse gives them, as new as any that was acknowledged before the
-// call.
+// ReadRoutesResponse returns the routes in force, including every replacement that
+// was acknowledged before the call.
 type ReadRoutesResponse struct {
 	Document routes.Document `cbor:"1,keyasint"`
 }
 
-// ListResultsRequest asks for results in the order in which they were made.
+// ListResultsRequest is the request for results in completion order.
 type ListResultsRequest struct {
 	Job      job.ID        `cbor:"1,keyasint"`
 	Position uint32        `cbor:"2,keyasint"`
-	MaxBytes int           `cbor:"3,keyasint"` // of the results, the first one excepted
-	Wait     time.Duration `cbor:"4,keyasint"` // longest time to wait for the first result
+	MaxBytes int           `cbor:"3,keyasint"` // of all results, exceeded only by a single larger result
+	Wait     time.Duration `cbor:"4,keyasint"` // maximum wait for the first result
 }
 
-// ListResultsResponse gives results from the position on.
+// ListResultsResponse returns results from the requested position on.
 type ListResultsResponse struct {
-	Items   uint32             `cbor:"1,keyasint"` // of the job
+	Items   uint32             `cbor:"1,keyasint"` // number of items of the job
 	Results []job.StoredResult `cbor:"2,keyasint,omitempty"`
-	Next    uint32             `cbor:"3,keyasint"` // position from which to go on
+	Next    uint32             `cbor:"3,keyasint"` // position to continue from
 }
 
-// ReadItemRequest asks for an item of a running job by its caller's ID.
+// ReadItemRequest is the request for an item of a running job by its custom ID.
 type ReadItemRequest struct {
 	Job      job.ID `cbor:"1,keyasint"`
 	CustomID string `cbor:"2,keyasint"`
 }
 
-// ReadItemResponse gives the item as it was handed in.
+// ReadItemResponse returns the item as it was submitted.
 type ReadItemResponse struct {
 	Item job.Item `cbor:"1,keyasint"`
 }
 
-// TenureRequest asks for a right, such as to order the engines of a place.
+// TenureRequest acquires or renews a tenure, such as the right to order the engines
+// of a place.
 type TenureRequest struct {
 	Name    string
-	Holder  string // VM and run of its process
-	Leaving bool   // gives the right up
+	Holder  string // the VM and the run of its process
+	Leaving bool   // releases the tenure
 }
 
-// TenureResponse tells who holds the right. Fence is set only if it is the
-// asker; Lease then counts from before the request was sent.
+// TenureResponse returns the holder of the tenure. Fence and Lease are set only if
+// the caller holds it. Lease starts when the caller sends the request.
 type TenureResponse struct {
 	Holder string
 	Fence  uint64
 	Lease  time.Duration
 }
 
-// InfoRequest asks a keeper about the groups.
+// InfoRequest is the request for the number of groups. Any keeper answers it.
 type InfoRequest struct{}
 
-// InfoResponse gives the number of groups, fixed when the keepers are set up.
+// InfoResponse returns the number of groups, which is fixed when the keepers are
+// set up.
 type InfoResponse struct {
 	Groups uint32
 }
 
-// WatchRequest asks for the configuration after Applied. It also acknowledges
-// that the gate serves by Applied, and renews the gate's configuration lease.
+// WatchRequest is the long poll of a gate for configuration changes after the
+// revision Applied. It also acknowledges that the gate serves Applied and renews
+// the gate's configuration lease.
 type WatchRequest struct {
-	VM      string        // the gate
+	VM      string        // of the gate
 	Applied uint64        // revision
-	Wait    time.Duration // longest time to wait for a newer revision
-	Leaving bool          // the gate serves no longer; its lease ends
+	Wait    time.Duration // maximum wait for a newer revision
+	Leaving bool          // the gate is shutting down; its lease ends
 }
 
-// WatchResponse brings the gate forward.
+// WatchResponse updates the gate's configuration.
 type WatchResponse struct {
 	Update team.Update
-	// Lease is how long the gate may serve by the revision that it has now,
-	// counted from when it sent the request.
+	// Lease is how long the gate may serve the updated configuration, counted from
+	// when it sent the request.
 	Lease time.Duration
 }
 
-// ChangeStatusRequest asks whether a revision is in force.
+// ChangeStatusRequest is the request for the progress of a revision.
 type ChangeStatusRequest struct {
 	Revision uint64
-	Wait     time.Duration // longest time to wait until it is in force
+	Wait     time.Duration // maximum wait until it is in force
 }
 
-// ChangeProgress says whether a revision is in force: each gate has
-// acknowledged it or has lost its configuration lease.
+// ChangeProgress reports whether a revision is in force, which means that each
+// gate has acknowledged it or has lost its configuration lease.
 type ChangeProgress struct {
-	Current uint64 // revision of the configuration
+	Current uint64 // current revision of the configuration
 	InForce bool
-	Waiting []string // gates that are still to acknowledge it, by VM
-	// Settling is how long a new leader still waits for the leases that its
-	// predecessor may have given to gates which it does not know.
+	Waiting []string // VMs of the gates that have not acknowledged it
+	// Settling is how long a new leader still waits for leases to expire that its
+	// predecessor may have granted.
 	Settling time.Duration
 }
 
-// ReadConfigRequest asks for the configuration as operators see it.
+// ReadConfigRequest is the request for the configuration as operators see it.
 type ReadConfigRequest struct {
-	Since uint64 // revision; 0 gives a full copy
+	Since uint64 // revision after which to return changes; 0: return a full copy
 }
 
-// AddPartRequest sends a part of an open job.
+// AddPartRequest uploads a part of an open job.
 type AddPartRequest struct {
 	Job    job.ID     `cbor:"1,keyasint"`
 	Number int        `cbor:"2,keyasint"` // from 0
@@ -231,46 +235,46 @@
 	Parts int
 }
 
-// JobRequest names a job.
+// JobRequest is a request that concerns one job.
 type JobRequest struct {
 	Job job.ID
 }
 
-// ListJobsRequest asks for the jobs of a team in one group.
+// ListJobsRequest is the request for a team's jobs in one group.
 type ListJobsRequest struct {
 	Group uint32
 	Team  string
 }
 
-// ListJobsResponse lists jobs, newest first.
+// ListJobsResponse returns jobs, newest first.
 type ListJobsResponse struct {
 	Jobs []job.Status
 }
 
-// ResultsRequest asks for results in item order.
+// ResultsRequest is the request for results in item order.
 type ResultsRequest struct {
 	Job   job.ID
-	From  uint32 // item; Next of the last response, to go on
-	Limit int    // results at most
+	From  uint32 // first item; use Next of the last response to continue
+	Limit int    // maximum number of results
 }
 
-// ResultsResponse gives results in item order. Fewer than asked for come when
-// they are large or when the next one is still to be made.
+// ResultsResponse returns results in item order. It has fewer than the limit if
+// the results are large or the next one is not available yet.
 type ResultsResponse struct {
 	Results []job.StoredResult `cbor:"1,keyasint,omitempty"`
 	Next    uint32             `cbor:"2,keyasint"`
-	End     bool               `cbor:"3,keyasint"` // no result will ever follow
+	End     bool               `cbor:"3,keyasint"` // no further result will come
 }
 
-// SessionRequest names the session of a gate in one group.
+// SessionRequest opens or closes the session of a gate in one group.
 type SessionRequest struct {
 	Group   uint32
 	Session job.SessionID
 	VM      string
-	Started int64 // of the gate's process, in Unix milliseconds; 0: not known
+	Started int64 // start of the gate's process, in Unix milliseconds; 0: unknown
 }
 
-// SessionResponse gives the time after which a session that is not renewed ends.
+// SessionResponse returns the time after which a session ends unless renewed.
 type SessionResponse struct {
 	TTL time.Duration
 }
@@ -279,53 +283,53 @@
 type HeartbeatRequest struct {
 	Group   uint32
 	Session job.SessionID
-	Running []job.ID // jobs of which the gate runs items
+	Running []job.ID // jobs whose items the gate is running
 }
 
-// HeartbeatResponse tells the gate what it must stop.
+// HeartbeatResponse returns the jobs whose items the gate must stop.
 type HeartbeatResponse struct {
 	TTL   time.Duration
-	Ended []job.ID // of the running jobs, those that are cancelled or gone
+	Ended []job.ID // those of Running that are cancelled or gone
 }
 
-// AwaitWorkRequest waits until one of the wants could get an item in a group.
+// AwaitWorkRequest is the long poll for an item in a group that meets one of the
+// wants.
 type AwaitWorkRequest struct {
 	Group uint32
 	Wants []job.Want
 	Wait  time.Duration
-	// Session is who asks; empty: nobody whose lease is expected.
+	// Session is the session of the caller, empty if no lease request will follow.
 	Session job.SessionID
 }
 
-// AwaitWorkResponse tells whether there was an item when it was sent.
+// AwaitWorkResponse reports whether an item was available when it was sent.
 type AwaitWorkResponse struct {
 	Available bool
 }
 
-// LeaseRequest asks for items of one group to run. A resend carries the same
-// Request.
+// LeaseRequest leases items of one group. A resend carries the same Request.
 type LeaseRequest struct {
 	Group   uint32        `cbor:"1,keyasint"`
 	Session job.SessionID `cbor:"2,keyasint"`
-	Request uint64        `cbor:"3,keyasint"` // from 1, the next one after an answer that took it
+	Request uint64        `cbor:"3,keyasint"` // sequence number from 1, incremented after each response with Taken
 	Wants   []job.Want    `cbor:"4,keyasint"`
 }
 
-// LeaseResponse gives items to run; none if there are none to run.
+// LeaseResponse returns the leased items, none if none are available.
 type LeaseResponse struct {
 	Items []LeasedItem `cbor:"1,keyasint,omitempty"`
-	Taken bool         `cbor:"2,keyasint,omitempty"` // the request's number is used up
+	Taken bool         `cbor:"2,keyasint,omitempty"` // the request's sequence number is used
 }
 
-// LeasedItem is an item to run and its request.
+// LeasedItem is a leased item with its request.
 type LeasedItem struct {
 	Lease job.Leased `cbor:"1,keyasint"`
 	Item  job.Item   `cbor:"2,keyasint"`
-	// Partial is what earlier attempts have made of the answer, up to Lease.Reached.
+	// Partial is the part of the answer from earlier attempts, up to Lease.Reached.
 	Partial []byte `cbor:"3,keyasint,omitempty"`
 }
 
-// CompleteRequest reports how attempts ended, all of jobs of one group.
+// CompleteRequest reports the results of attempts, all for jobs of one group.
 type CompleteRequest struct {
 	Group   uint32        `cbor:"1,keyasint"`
 	Session job.SessionID `cbor:"2,keyasint"`
@@ -335,14 +339,14 @@
 // CompleteResponse confirms that the results are stored or dropped.
 type CompleteResponse struct{}
 
-// ClaimResponse says whether to send the request.
+// ClaimResponse reports whether the gate may send the claimed request.
 type ClaimResponse struct {
 	State   claim.State
-	Outcome []byte // of a done claim, as its gate gave it
+	Outcome []byte // of a done claim, as its gate reported it
 }
 
 // FinishClaimResponse confirms the end of a claim.
 type FinishClaimResponse struct{}
 
-// At converts a deadline for a job's Spec; the zero time means none.
+// At converts a deadline to the type of a job's Spec. The zero time means none.
 func At(deadline time.Time) instant.Micros { return instant.Of(deadline) }
--- a/internal/keeper/keepertest/cluster.go
+++ b/internal/keeper/keepertest/cluster.go
@@ -19,8 +19,8 @@
 	"slateway.example/slateway/internal/rpc"
 )
 
-// Cluster is a set of keepers in one process that talk over loopback and sync to
-// folders of the test.
+// Cluster is a set of keepers in one process that communicate over loopback and
+// store their state in temporary folders of the test.
 type Cluster struct {
 	Keepers []*Keeper
 
@@ -30,7 +30,7 @@
 	set    func(*replica.Config, *keeper.Options)
 }
 
-// Keeper is one of them.
+// Keeper is a keeper of a Cluster.
 type Keeper struct {
 	VM      string
 	Address string
@@ -39,22 +39,22 @@
 	folder string
 	server *http.Server
 	cancel context.CancelFunc
-	cut    atomic.Int32 // a Cut
+	cut    atomic.Int32 // an Isolation
 }
 
-// Cut says whose calls hang at a keeper, without an error, as they do at a
-// frozen process or a dropped route.
+// Isolation selects the callers whose calls to a keeper hang without an error, as
+// with a frozen process or a network that drops packets.
 type Cut int32
 
-// Cuts.
+// Values of Isolation.
 const (
 	CutNothing Cut = iota
 	CutPeers       // calls to and from the other keepers; gates and operators still reach it
 	CutAll
 )
 
-// StartCluster starts count keepers; set, which may be nil, adjusts the settings
-// of each. They stop with the test.
+// StartCluster starts count keepers, which stop at the end of the test. set, which
+// may be nil, adjusts the settings of each.
 func StartCluster(tb testing.TB, count int, groups uint32, set func(*replica.Config, *keeper.Options)) *Cluster {
 	tb.Helper()
 	c := &Cluster{tb: tb, groups: groups, set: set}
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// guard passes requests on, or hangs those that are cut off.
+// guard forwards requests and hangs those from which the keeper is isolated.
 func (k *Keeper) guard(peers, calls *http.ServeMux) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		handler, cutFrom := calls, CutAll
@@ -134,7 +134,7 @@
 
 func (k *Keeper) isCut(from Cut) bool { return Cut(k.cut.Load()) >= from }
 
-// RoundTrip sends a call to another keeper, or hangs it.
+// RoundTrip sends a call to another keeper, or hangs it if the keeper is isolated.
 func (k *Keeper) RoundTrip(r *http.Request) (*http.Response, error) {
 	if k.isCut(CutPeers) {
 		<-r.Context().Done()
@@ -143,21 +143,21 @@
 	return http.DefaultTransport.RoundTrip(r)
 }
 
-// SetCut cuts the keeper off, or heals it.
+// SetIsolation isolates the keeper from its callers, or reconnects it.
 func (k *Keeper) SetCut(cut Cut) { k.cut.Store(int32(cut)) }
 
-// Stop ends the keeper.
+// Stop stops the keeper.
 func (k *Keeper) Stop() {
 	k.cancel()
 	_ = k.server.Close()
 	k.Host.Stop()
 }
 
-// Restart starts a stopped keeper on its folder.
+// Restart starts a stopped keeper from its folder.
 func (c *Cluster) Restart(k *Keeper) {
 	c.tb.Helper()
-	const patience = 10 * time.Second
-	for deadline := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+	const timeout = 10 * time.Second
+	for deadline := time.Now().Add(timeout); ; time.Sleep(5 * time.Millisecond) {
 		listener, err := net.Listen("tcp", k.Address)
 		if err == nil {
 			err = c.open(k, listener)
@@ -171,13 +171,13 @@
 	}
 }
 
-// Client makes a client with connections of its own.
+// Client creates a client with its own connections.
 func (c *Cluster) Client() *keeperclient.Client { return c.LossyClient(func() bool { return false }) }
 
-// LossyClient makes a client that loses the answer of a call, after the keeper
-// has given it, whenever lose says so.
+// LossyClient creates a client that loses the response of a call whenever lose
+// returns true. The keeper has executed the call then.
 func (c *Cluster) LossyClient(lose func() bool) *keeperclient.Client {
-	const connections = 256 // to each keeper; the default of 2 would close most after use
+	const connections = 256 // to each keeper; with the default of 2, most would be closed after use
 	transport := &http.Transport{MaxIdleConnsPerHost: connections}
 	c.tb.Cleanup(transport.CloseIdleConnections)
 	var addresses []string
@@ -187,7 +187,7 @@
 	return keeperclient.New(rpc.NewClient(&http.Client{Transport: &lossy{transport: transport, lose: lose}}), addresses)
 }
 
-// lossy sends calls and may lose their answers.
+// lossy is a transport that may lose responses.
 type lossy struct {
 	transport http.RoundTripper
 	lose      func() bool
@@ -195,7 +195,7 @@
 
 var errAnswerLost = errors.New("connection reset")
 
-// RoundTrip sends a call.
+// RoundTrip sends a call and may lose its response.
 func (l *lossy) RoundTrip(r *http.Request) (*http.Response, error) {
 	response, err := l.transport.RoundTrip(r)
 	if err == nil && l.lose() {
@@ -205,17 +205,17 @@
 	return response, err
 }
 
-// Leader waits for the keeper that leads a group.
+// Leader waits until a keeper leads the group, and returns it.
 func (c *Cluster) Leader(group uint32) *Keeper {
 	c.tb.Helper()
-	const patience = 30 * time.Second
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+	const timeout = 30 * time.Second
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		for _, k := range c.Keepers {
 			if k.Host.Status()[group].Leads {
 				return k
 			}
 		}
 	}
-	c.tb.Fatalf("group %d has no leader", group)
+	c.tb.Fatalf("group %d elected no leader in time", group)
 	return nil
 }
--- a/internal/keeper/keepertest/local.go
+++ b/internal/keeper/keepertest/local.go
@@ -1,5 +1,6 @@
-// Package keepertest gives tests a keeper in one process: its groups have a
-// single member, apply at once and keep no log.
+// Package keepertest runs keepers within a test process: a Cluster of complete
+// keepers on loopback, or a Local proposer, whose groups have a single member,
+// apply entries at once and keep no log.
 package keepertest
 
 import (
@@ -12,7 +13,7 @@
 // Self is the member that leads all groups of a Local.
 var Self = replica.Member{ID: 1, VM: "vm-1", Address: "127.0.0.1:0"}
 
-// Local is a Proposer that applies each entry at once.
+// Local is a replica.Proposer that applies each entry at once.
 type Local struct {
 	groups []*localGroup
 }
@@ -25,7 +26,7 @@
 
 var _ replica.Proposer = (*Local)(nil)
 
-// NewLocal makes a Local of the given machines, one a group.
+// NewLocal creates a Local with one group for each machine.
 func NewLocal(machines ...replica.Machine) *Local {
 	local := &Local{}
 	for _, machine := range machines {
@@ -34,7 +35,7 @@
 	return local
 }
 
-// Propose applies data.
+// Propose applies data to the machine of the group and returns the result.
 func (l *Local) Propose(ctx context.Context, group uint32, data []byte) ([]byte, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
@@ -46,13 +47,13 @@
 	return target.machine.Apply(replica.Entry{Index: target.index, Data: data}), nil
 }
 
-// ReadBarrier has nothing to wait for.
+// ReadBarrier returns at once, because all entries are applied.
 func (l *Local) ReadBarrier(ctx context.Context, _ uint32) error { return ctx.Err() }
 
-// Leader gives Self.
+// Leader returns Self.
 func (l *Local) Leader(uint32) (replica.Member, bool) { return Self, true }
 
-// Groups is the number of machines.
+// Groups returns the number of groups.
 func (l *Local) Groups() uint32 { return uint32(len(l.groups)) }
 
 // Reopen snapshots a group's machine and restores the snapshot into it, as a
--- a/internal/keeper/service.go
+++ b/internal/keeper/service.go
@@ -20,14 +20,15 @@
 	"slateway.example/slateway/internal/telemetry"
 )
 
-// Options are what a Service needs. All but the durations must be set.
+// Options configures a Service. All fields but Metrics and the durations are
+// required.
 type Options struct {
 	Self     quorum.ID // this VM's member ID
 	Proposer replica.Proposer
 	Config   *ConfigMachine
 	Jobs     []*JobMachine // of groups 1 and up
 	Log      *zap.Logger
-	Metrics  *telemetry.Metrics // nil: counted, but not shown
+	Metrics  *telemetry.Metrics // nil: metrics are counted but not published
 
 	ConfigLease time.Duration // zero: DefaultConfigLease
 	SessionTTL  time.Duration // zero: DefaultSessionTTL
@@ -36,19 +37,19 @@
 
 // Defaults of Options.
 const (
-	// DefaultConfigLease bounds how long a silent gate delays a change; the
-	// plan allows 9 s until a change is in force everywhere.
+	// DefaultConfigLease limits how long an unresponsive gate delays a change.
+	// A change must be in force everywhere within 9 s.
 	DefaultConfigLease = 4 * time.Second
 	// DefaultSessionTTL is long enough for a gate to find a new leader, and short
-	// beside the hours that batch jobs have.
+	// compared with the hours that batch jobs take.
 	DefaultSessionTTL = 10 * time.Second
-	// DefaultTenureTTL is how long a silent orderer keeps its place's engines
-	// from being ordered by another.
+	// DefaultTenureTTL is how long an unresponsive orderer prevents another one from
+	// ordering the engines of its place.
 	DefaultTenureTTL = 10 * time.Second
 )
 
-// Service answers the calls of gates and operators on one keeper. Run must run
-// beside it.
+// Service answers the calls of gates and operators on one keeper. It requires Run
+// to be running.
 type Service struct {
 	options Options
 	clock   instant.Clock
@@ -60,11 +61,11 @@
 	leaderships []leadership // by group
 	lastTick    time.Time
 
-	lastGaugeUpdate time.Time                // of Run alone
-	tenureContacts  map[string]tenureContact // by the name of the right
+	lastGaugeUpdate time.Time                // accessed by Run only
+	tenureContacts  map[string]tenureContact // by the name of the tenure
 }
 
-// NewService makes a service; Mount attaches it to a server.
+// NewService creates a service. Mount attaches it to a server.
 func NewService(options Options) *Service {
 	if options.ConfigLease == 0 {
 		options.ConfigLease = DefaultConfigLease
@@ -120,13 +121,14 @@
 	handle(s, mux, keeperapi.ReadItem, s.readItem)
 }
 
-// refusedPrefix begins the counters of refused calls. They stand apart from the
-// refusals that gates and operators' listeners count: those pass a keeper's
-// refusal on, and on a VM with both roles it would count twice.
+// refusedPrefix starts the names of the counters of refused calls. They are
+// separate from the refusals that gates and operators' listeners count, which
+// include forwarded refusals of keepers: on a VM with both roles, a refusal would
+// otherwise count twice.
 const refusedPrefix = "keeper.refused."
 
-// handle mounts one call and turns the errors of the replicated groups into
-// replies and typed errors.
+// handle mounts one procedure. It converts the errors of the replicated groups to
+// NotLeader replies and API errors.
 func handle[Req, Res any](s *Service, mux *http.ServeMux, p rpc.Procedure[Req, keeperapi.Reply[Res]], fn func(context.Context, *Req) (*Res, error)) {
 	rpc.Handle(mux, p, keeperapi.MaxMessageBytes, func(ctx context.Context, request *Req) (*keeperapi.Reply[Res], error) {
 		value, err := fn(ctx, request)
@@ -136,7 +138,7 @@
 		}
 		if err != nil {
 			refusal := s.callError(string(p), err)
-			if !errors.Is(ctx.Err(), context.Canceled) { // else the caller has left: nobody is refused
+			if !errors.Is(ctx.Err(), context.Canceled) { // a call that its caller cancelled is not a refusal
 				s.options.Metrics.Count(refusedPrefix + string(refusal.Reason))
 			}
 			return nil, refusal
@@ -145,8 +147,8 @@
 	})
 }
 
-// overloadRetry is when to come back after too many proposals; they are worked
-// off in groups within a few syncs of the disk.
+// overloadRetry is the retry delay sent when too many proposals are pending. They
+// are committed in batches within a few disk syncs.
 const overloadRetry = 100 * time.Millisecond
 
 func (s *Service) callError(call string, err error) *apierr.Error {
@@ -166,7 +168,7 @@
 	case errors.As(err, &overloaded):
 		return apierr.New(apierr.Overloaded, keeperapi.ReasonOverloaded, "ask again later", "%v", err).WithRetryAfter(overloadRetry)
 	case errors.Is(err, context.DeadlineExceeded), errors.Is(err, context.Canceled):
-		return apierr.New(apierr.Unavailable, keeperapi.ReasonOutcomeUnknown, "send the same call again", "the call was given up: %v", err).WithRan(apierr.RanUnknown)
+		return apierr.New(apierr.Unavailable, keeperapi.ReasonOutcomeUnknown, "send the same call again", "the call was cancelled or timed out: %v", err).WithRan(apierr.RanUnknown)
 	default:
 		s.options.Log.Error("keeper call failed", zap.String("call", call), zap.Error(err))
 		return apierr.From(err)
@@ -177,15 +179,15 @@
 	return &keeperapi.InfoResponse{Groups: s.options.Proposer.Groups()}, nil
 }
 
-// machine gives the state machine of a job group.
+// machine returns the state machine of a job group.
 func (s *Service) machine(group uint32) (*JobMachine, error) {
 	if group == keeperapi.ConfigGroup || int(group) > len(s.options.Jobs) {
-		return nil, apierr.New(apierr.Invalid, keeperapi.ReasonInvalidRequest, "ask for the groups again", "there is no job group %d", group)
+		return nil, apierr.New(apierr.Invalid, keeperapi.ReasonInvalidRequest, "read the number of groups again with the Info call", "job group %d does not exist", group)
 	}
 	return s.options.Jobs[group-1], nil
 }
 
-// propose commits a command in a job group, stamped with this VM's clock.
+// propose commits a command in a job group, with a timestamp of this VM's clock.
 func (s *Service) propose(ctx context.Context, group uint32, cmd command) (result, error) {
 	cmd.At = s.clock.Now()
 	data, err := s.options.Proposer.Propose(ctx, group, codec.MustMarshal(cmd))
@@ -202,7 +204,7 @@
 	return answer, nil
 }
 
-// proposeStatus commits a command that answers with the status of its job.
+// proposeStatus commits a command whose result is the status of a job.
 func (s *Service) proposeStatus(ctx context.Context, id job.ID, cmd command) (*job.Status, error) {
 	answer, err := s.propose(ctx, s.groupOf(id), cmd)
 	return answer.Status, err
--- a/internal/keeper/submitcalls.go
+++ b/internal/keeper/submitcalls.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		return nil, err
 	}
-	data, err := s.options.Proposer.Propose(ctx, keeperapi.ConfigGroup, codec.MustMarshal(configCommand{Packed: packed}))
+	data, err := s.options.Proposer.Propose(ctx, keeperapi.ConfigGroup, codec.MustMarshal(configCommand{PackedRoutes: packed}))
 	if err != nil {
 		return nil, err
 	}
@@ -43,7 +43,7 @@
 }
 
 func (s *Service) retireVM(ctx context.Context, request *keeperapi.RetireRequest) (*keeperapi.RetireResponse, error) {
-	_, err := s.options.Proposer.Propose(ctx, keeperapi.ConfigGroup, codec.MustMarshal(configCommand{Retire: request.VM}))
+	_, err := s.options.Proposer.Propose(ctx, keeperapi.ConfigGroup, codec.MustMarshal(configCommand{RetireVM: request.VM}))
 	return &keeperapi.RetireResponse{}, err
 }
 
@@ -52,14 +52,14 @@
 	return s.proposeStatus(ctx, id, command{Submit: submission})
 }
 
-// listResults answers at once if there is a result at the position or none will
-// come; else it waits for one.
+// listResults answers at once if there is a result at the position or no further
+// result will come. Otherwise it waits for a result.
 func (s *Service) listResults(ctx context.Context, request *keeperapi.ListResultsRequest) (*keeperapi.ListResultsResponse, error) {
-	machine, err := s.barrier(ctx, s.groupOf(request.Job))
+	machine, err := s.machineAfterBarrier(ctx, s.groupOf(request.Job))
 	if err != nil {
 		return nil, err
 	}
-	timer := time.NewTimer(min(request.Wait, maxWait))
+	timer := time.NewTimer(min(request.Wait, maxPollWait))
 	defer timer.Stop()
 	for {
 		changed := machine.changed.wait()
@@ -83,6 +83,8 @@
 	}
 }
 
+// readListing reads listed results, at least one if there is any and otherwise up
+// to MaxBytes.
 func (m *JobMachine) readListing(listing job.Listing, request *keeperapi.ListResultsRequest) (*keeperapi.ListResultsResponse, error) {
 	response := &keeperapi.ListResultsResponse{Items: listing.Items, Next: request.Position}
 	size := 0
@@ -105,10 +107,10 @@
 	return response, nil
 }
 
-// readItem finds an item by its caller's ID in the parts of its job.
+// readItem finds an item in the parts of its job by the ID that the caller gave it.
 func (s *Service) readItem(ctx context.Context, request *keeperapi.ReadItemRequest) (*keeperapi.ReadItemResponse, error) {
 	group := s.groupOf(request.Job)
-	machine, err := s.barrier(ctx, group)
+	machine, err := s.machineAfterBarrier(ctx, group)
 	if err != nil {
 		return nil, err
 	}
@@ -129,5 +131,5 @@
 			}
 		}
 	}
-	return nil, apierr.New(apierr.NotFound, job.ReasonUnknownItem, "name an item of the job", "job %s has no item %q", request.Job, request.CustomID)
+	return nil, apierr.New(apierr.NotFound, job.ReasonUnknownItem, "use the custom ID of an item of the job", "job %s has no item with custom ID %q", request.Job, request.CustomID)
 }
