--- a/internal/keeper/command.go
+++ b/internal/keeper/command.go
@@ -18,7 +18,7 @@
 
 	Routes       *routes.Document `cbor:"4,keyasint,omitempty"` // unpacked; written by earlier versions only
 	RetireVM     string           `cbor:"5,keyasint,omitempty"` // VM to decommission
-	PackedRoutes routes.Packed    `cbor:"6,keyasint,omitempty"` // routes
+	PackedRoutes routes.Packed    `cbor:"6,keyasint,omitempty"`
 }
 
 // command is a log entry of a job group: the time of the proposal and exactly
--- a/internal/keeper/configcalls.go
+++ b/internal/keeper/configcalls.go
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// changeProgress returns the changeProgress of a revision. It must be called on a leader
+// changeProgress returns the progress of a revision. It must be called on a leader
 // that a read barrier has confirmed.
 func (s *Service) changeProgress(revision uint64, now time.Time) (*keeperapi.ChangeProgress, error) {
 	since, leads := s.leadingSince(keeperapi.ConfigGroup)
--- a/internal/keeper/files.go
+++ b/internal/keeper/files.go
@@ -19,7 +19,7 @@
 	fileKinds
 )
 
-// filePrefixes are the file name filePrefixes by kind.
+// filePrefixes are the file name prefixes by kind.
 var filePrefixes = [fileKinds]string{"part", "result", "outcome"}
 
 // files stores the records of a job group on disk.
--- a/internal/keeper/files_test.go
+++ b/internal/keeper/files_test.go
@@ -11,7 +11,7 @@
 	"slateway.example/slateway/internal/replica"
 )
 
-// applier applies commands to a machine as its log does.
+// applier applies commands to a machine and records them like its log.
 type applier struct {
 	machine *JobMachine
 	log     []command
@@ -29,7 +29,7 @@
 	}
 }
 
-// runJob makes a job of one item and runs it.
+// runJob creates a job of one item and completes it.
 func (a *applier) runJob(t *testing.T, key string) job.ID {
 	id := job.NewID("t", key)
 	a.apply(t, command{At: 1, Create: &job.Spec{Team: "t", Key: key, MaxAttempts: 1, Retention: time.Minute}})
@@ -61,17 +61,17 @@
 	return len(entries)
 }
 
-// The disk of a keeper must not fill up with results whose retention is over.
-// But a keeper can be lost while it takes the next snapshot: it then starts from
-// the one before and applies the log again, and that snapshot still names the
-// files of results that expired since. Deleted at once, they would be missing
-// and the keeper could not start.
+// A keeper must delete the files of expired results, but not too early: if it crashes
+// while it takes a snapshot, it restarts from the previous snapshot, which still
+// refers to files of results that have expired since. Without those files it could not
+// start.
 //
-// Red without the wait for the next snapshot: "no such file or a short one".
+// If files are deleted at once and not at the next snapshot, this test fails with "no
+// such file or a short one".
 func TestExpiredFilesOutliveTheSnapshotThatNamesThem(t *testing.T) {
 	folder := t.TempDir()
 	fail := func(err error) { t.Fatal(err) }
-	a := &applier{machine: newJobMachine(folder, 1, fail)} // one record a segment
+	a := &applier{machine: newJobMachine(folder, 1, fail)} // one record per segment
 	for n := range 5 {
 		a.runJob(t, fmt.Sprint("old-", n))
 	}
@@ -85,7 +85,8 @@
 	if _, err := a.machine.Snapshot(); err != nil {
 		t.Fatal(err)
 	}
-	// The second snapshot is lost with the process: back to the first.
+	// The process crashes before it stores the second snapshot and restarts from the
+	// first one.
 	if err := a.machine.Close(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/keeper/fuzz_test.go
+++ b/internal/keeper/fuzz_test.go
@@ -10,9 +10,9 @@
 	"slateway.example/slateway/internal/replica"
 )
 
-// A newer version, or a defect of a proposer, writes an entry that this version
-// does not expect: it must be answered alike on all replicas, as a panic would
-// stop all of them at the same entry for good.
+// A newer version or a faulty proposer may write an entry that this version does not
+// expect. All replicas must answer it alike: a panic would stop all of them at the
+// same entry permanently.
 func FuzzJobCommand(f *testing.F) {
 	session, spec := job.SessionID("s"), job.Spec{Team: "t", Key: "k", MaxAttempts: 1, Within: time.Hour}
 	id := job.NewID("t", "k")
--- a/internal/keeper/history_models_test.go
+++ b/internal/keeper/history_models_test.go
@@ -7,36 +7,37 @@
 	"slateway.example/slateway/internal/job"
 )
 
-// The history of one object is a sequence of calls and answers; whatever
-// happened to the keepers meanwhile, some order of the calls within their times
-// must explain all answers. A call without an answer may have happened or not,
-// at any time after it began.
+// The models check linearizability. The history of one object is a set of concurrent
+// calls with their answers. Whatever faults the keepers had, there must be an order of
+// the calls, each within its start and end, that explains all answers. A call without
+// an answer may take effect at any time after its start, or never.
 
 // call is one operation on one object.
 type call struct {
 	object string // the team, job or claim key
 	kind   string // put, read; complete, cancel, status; claim, finish
-	id     string // what it writes
-	base   uint64 // of a put
+	id     string // value that it writes
+	base   uint64 // base revision of a put
 }
 
-// answerTo is what the caller was told.
-type answerTo struct {
-	lost  bool   // no answer
-	state string // as the model names it
-	value string // what it read
-	at    uint64 // revision
+// callResult is the answer that the caller received.
+type callResult struct {
+	lost     bool   // no answer
+	state    string // state in terms of the model
+	value    string // value that the call read
+	revision uint64 // revision that the call read or wrote
 }
 
 // object is the state of an object in the model.
 type object struct {
-	state string
-	value string
-	at    uint64
+	state    string
+	value    string
+	revision uint64
 }
 
-// step gives the states after a call; none if the answer cannot be explained.
-type step func(before object, in call, out answerTo) []object
+// step returns the possible states after a call, none if the state before it cannot
+// explain the answer.
+type step func(before object, in call, out callResult) []object
 
 func model(start object, transition step) porcupine.Model {
 	nondeterministic := porcupine.NondeterministicModel{
@@ -55,7 +56,7 @@
 		Init: func() []any { return []any{start} },
 		Step: func(state, input, output any) []any {
 			var after []any
-			for _, next := range transition(state.(object), input.(call), output.(answerTo)) {
+			for _, next := range transition(state.(object), input.(call), output.(callResult)) {
 				after = append(after, next)
 			}
 			return after
@@ -65,20 +66,21 @@
 	return nondeterministic.ToModel()
 }
 
-// teamStep: a put wins if its base is the team's revision; a read gives both.
-func teamStep(before object, in call, out answerTo) []object {
-	wins := in.kind == "put" && in.base == before.at
+// teamStep models a team: a put wins if its base is the team's revision, and a read
+// returns the value and the revision.
+func teamStep(before object, in call, out callResult) []object {
+	wins := in.kind == "put" && in.base == before.revision
 	switch {
-	case in.kind == "read" && (out.lost || out.at == before.at && out.value == before.value):
+	case in.kind == "read" && (out.lost || out.revision == before.revision && out.value == before.value):
 		return []object{before}
 	case in.kind == "read":
 		return nil
 	case out.lost:
-		// Accepted or not: its revision is unknown, so a later read tells it.
-		// lostPut reads it back before the history goes on.
+		// Whether the put was accepted is unknown, and so is its revision. editTeam
+		// resends a put until it is answered, so this case does not occur.
 		return []object{before}
-	case out.state == "won" && wins && out.at > before.at:
-		return []object{{value: in.id, at: out.at}}
+	case out.state == "won" && wins && out.revision > before.revision:
+		return []object{{value: in.id, revision: out.revision}}
 	case out.state == "conflict" && !wins:
 		return []object{before}
 	default:
@@ -86,8 +88,9 @@
 	}
 }
 
-// jobStep is a job of one item: the first result or the cancellation decides.
-func jobStep(before object, in call, out answerTo) []object {
+// jobStep models a job of one item: the first result or cancellation determines its
+// final state.
+func jobStep(before object, in call, out callResult) []object {
 	running := before.state == string(job.StateRunning)
 	after := before
 	switch {
@@ -111,13 +114,14 @@
 	return []object{after}
 }
 
-// claimStep: the first claim is granted, all others learn what became of it.
-func claimStep(before object, in call, out answerTo) []object {
+// claimStep models a claim: the first claim is granted, and all others return its
+// state.
+func claimStep(before object, in call, out callResult) []object {
 	after := before
-	told := before.state
+	expected := before.state
 	switch {
 	case in.kind == "claim" && before.state == "":
-		after, told = object{state: string(claim.StateRunning), value: in.id}, string(claim.StateGranted)
+		after, expected = object{state: string(claim.StateRunning), value: in.id}, string(claim.StateGranted)
 	case in.kind == "finish" && before.state == string(claim.StateRunning):
 		after = object{state: string(claim.StateDone), value: in.id}
 	}
@@ -127,7 +131,7 @@
 	if in.kind == "finish" {
 		return []object{after}
 	}
-	if out.state != told || told == string(claim.StateDone) && out.value != before.value {
+	if out.state != expected || expected == string(claim.StateDone) && out.value != before.value {
 		return nil
 	}
 	return []object{after}
--- a/internal/keeper/history_test.go
+++ b/internal/keeper/history_test.go
@@ -27,12 +27,12 @@
 	history []porcupine.Operation
 }
 
-func (r *recorder) do(client int, in call, fn func() answerTo) answerTo {
+func (r *recorder) record(client int, in call, fn func() callResult) callResult {
 	began := time.Since(r.start)
 	out := fn()
 	ended := time.Since(r.start)
 	if out.lost {
-		ended = time.Hour // it may still happen later
+		ended = time.Hour // the call may still take effect later
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -40,19 +40,20 @@
 	return out
 }
 
-// outcome turns an error into an answer: refusals are answers, the rest is lost.
-func outcome(err error, refusals ...apierr.Reason) answerTo {
+// outcome converts an error to an answer: refused for the listed reasons, otherwise
+// lost.
+func outcome(err error, refusals ...apierr.Reason) callResult {
 	reason := reasonOf(err)
 	for _, refusal := range refusals {
 		if reason == refusal {
-			return answerTo{state: "refused"}
+			return callResult{state: "refused"}
 		}
 	}
-	return answerTo{lost: true}
+	return callResult{lost: true}
 }
 
-// user is one concurrent client; each call has its own time limit, so that a
-// keeper that is cut off shows as a lost answer.
+// user is one concurrent client. Each of its calls has a timeout, so that a call to
+// an isolated keeper counts as one without an answer.
 type user struct {
 	number int
 	client *keeperclient.Client
@@ -60,25 +61,25 @@
 	calls  int
 }
 
-// lostAnswers is how many in a hundred answers are lost.
-const lostAnswers = 5
+// lossPercent is the percentage of answers that are lost.
+const lossPercent = 5
 
 func newUser(cluster *keepertest.Cluster, number int, seed uint64) *user {
-	var mu sync.Mutex // a client has several calls open
+	var mu sync.Mutex // a client has concurrent calls
 	losses := rand.New(rand.NewPCG(seed, uint64(1000+number)))
 	client := cluster.LossyClient(func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return losses.IntN(100) < lostAnswers
+		return losses.IntN(100) < lossPercent
 	})
 	return &user{number: number, client: client, random: rand.New(rand.NewPCG(seed, uint64(number)+1))}
 }
 
-const callLimit = 1500 * time.Millisecond
+const callTimeout = 1500 * time.Millisecond
 
-func (u *user) limited(fn func(ctx context.Context) answerTo) func() answerTo {
-	return func() answerTo {
-		ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+func (u *user) withTimeout(fn func(ctx context.Context) callResult) func() callResult {
+	return func() callResult {
+		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		defer cancel()
 		return fn(ctx)
 	}
@@ -89,32 +90,32 @@
 	return fmt.Sprintf("u%d-%d", u.number, u.calls)
 }
 
-// editTeam reads the team and puts it with the revision that it read. A put
-// whose answer is lost is resent under its ID until it is answered: so its
-// place in the history is known.
+// editTeam reads the team and puts it with the revision that it read. A put whose
+// answer is lost is resent with the same ID until it is answered, so that its outcome
+// in the history is known.
 func (u *user) editTeam(r *recorder) {
-	seen := r.do(u.number, call{object: "team", kind: "read"}, u.limited(func(ctx context.Context) answerTo {
+	seen := r.record(u.number, call{object: "team", kind: "read"}, u.withTimeout(func(ctx context.Context) callResult {
 		found, err := u.client.GetTeam(ctx, "council")
 		if err != nil {
-			return answerTo{lost: true}
+			return callResult{lost: true}
 		}
-		return answerTo{at: found.Revision, value: found.Team.Values[0].Value}
+		return callResult{revision: found.Revision, value: found.Team.Values[0].Value}
 	}))
 	if seen.lost || u.random.IntN(3) == 0 {
 		return
 	}
 	id := u.nextID()
-	change := team.Change{ID: id, Operator: id, BaseRevision: seen.at, PutTeam: council(id)}
-	r.do(u.number, call{object: "team", kind: "put", id: id, base: seen.at}, func() answerTo {
+	change := team.Change{ID: id, Operator: id, BaseRevision: seen.revision, PutTeam: council(id)}
+	r.record(u.number, call{object: "team", kind: "put", id: id, base: seen.revision}, func() callResult {
 		for {
-			ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+			ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 			outcome, err := u.client.ApplyChange(ctx, change)
 			cancel()
 			switch {
 			case err == nil:
-				return answerTo{state: "won", at: outcome.Revision}
+				return callResult{state: "won", revision: outcome.Revision}
 			case reasonOf(err) == team.ReasonConflict:
-				return answerTo{state: "conflict"}
+				return callResult{state: "conflict"}
 			}
 		}
 	})
@@ -124,12 +125,12 @@
 	return &team.Team{Name: "council", Template: "newsdesk", Values: []team.Value{{Name: "model", Value: value}}}
 }
 
-// useJob completes, cancels or reads one of the jobs.
+// useJob completes, cancels or reads a random job.
 func (u *user) useJob(r *recorder, ids []job.ID) {
 	id := ids[u.random.IntN(len(ids))]
 	value := u.nextID()
 	kind := []string{"complete", "cancel", "status", "status"}[u.random.IntN(4)]
-	r.do(u.number, call{object: string(id), kind: kind, id: value}, u.limited(func(ctx context.Context) answerTo {
+	r.record(u.number, call{object: string(id), kind: kind, id: value}, u.withTimeout(func(ctx context.Context) callResult {
 		var err error
 		switch kind {
 		case "complete":
@@ -143,61 +144,62 @@
 		if err != nil {
 			return outcome(err, job.ReasonJobEnded)
 		}
-		return answerTo{}
+		return callResult{}
 	}))
 }
 
-// jobStatus reads state and result. The result of a completed job never changes,
-// so reading it second is one with reading the state.
-func (u *user) jobStatus(ctx context.Context, id job.ID) answerTo {
+// jobStatus reads the state and the result. The result of a completed job never
+// changes, so both reads together count as one atomic read.
+func (u *user) jobStatus(ctx context.Context, id job.ID) callResult {
 	status, err := u.client.JobStatus(ctx, id)
 	if err != nil {
-		return answerTo{lost: true}
+		return callResult{lost: true}
 	}
-	read := answerTo{state: string(status.State)}
+	read := callResult{state: string(status.State)}
 	if status.State == job.StateCompleted {
 		results, err := u.client.Results(ctx, id, 0, 1)
 		if err != nil {
-			return answerTo{lost: true}
+			return callResult{lost: true}
 		}
 		read.value = string(results.Results[0].Body)
 	}
 	return read
 }
 
-// useClaim claims a key; who is granted finishes it.
+// useClaim claims a random key and finishes the claim if it is granted.
 func (u *user) useClaim(r *recorder, session *keeperclient.Session) {
 	key, id := fmt.Sprint("plate-", u.random.IntN(30)), u.nextID()
-	answer := r.do(u.number, call{object: key, kind: "claim", id: id}, u.limited(func(ctx context.Context) answerTo {
+	answer := r.record(u.number, call{object: key, kind: "claim", id: id}, u.withTimeout(func(ctx context.Context) callResult {
 		response, err := session.Claim(ctx, "registry", key, 1, id)
 		if err != nil {
-			return answerTo{lost: true}
+			return callResult{lost: true}
 		}
-		return answerTo{state: string(response.State), value: string(response.Outcome)}
+		return callResult{state: string(response.State), value: string(response.Outcome)}
 	}))
 	if answer.state != string(claim.StateGranted) {
 		return
 	}
-	r.do(u.number, call{object: key, kind: "finish", id: id}, u.limited(func(ctx context.Context) answerTo {
+	r.record(u.number, call{object: key, kind: "finish", id: id}, u.withTimeout(func(ctx context.Context) callResult {
 		err := session.FinishClaim(ctx, claim.Finish{Team: "registry", Key: key, ID: id, Outcome: []byte(id)})
-		return answerTo{lost: err != nil}
+		return callResult{lost: err != nil}
 	}))
 }
 
-// disturb stops, restarts, cuts off and heals one keeper at a time.
-func disturb(cluster *keepertest.Cluster, random *rand.Rand, done <-chan struct{}) {
+// injectFaults stops and restarts, or isolates and reconnects, one random keeper at a
+// time until done is closed.
+func injectFaults(cluster *keepertest.Cluster, random *rand.Rand, done <-chan struct{}) {
 	for {
 		victim := cluster.Keepers[random.IntN(len(cluster.Keepers))]
-		cut := keepertest.Cut(random.IntN(3)) // none: it is restarted
-		if cut == keepertest.CutNothing {
+		isolation := keepertest.Isolation(random.IntN(3)) // NotIsolated: the keeper is restarted
+		if isolation == keepertest.NotIsolated {
 			victim.Stop()
 		}
-		victim.SetCut(cut)
+		victim.SetIsolation(isolation)
 		time.Sleep(time.Duration(700+random.IntN(1500)) * time.Millisecond)
-		if cut == keepertest.CutNothing {
+		if isolation == keepertest.NotIsolated {
 			cluster.Restart(victim)
 		}
-		victim.SetCut(keepertest.CutNothing)
+		victim.SetIsolation(keepertest.NotIsolated)
 		select {
 		case <-done:
 			return
@@ -206,13 +208,12 @@
 	}
 }
 
-// Operators race each other and resend, gates complete and claim, callers cancel
-// and read, and each loses answers, while keepers are stopped, restarted from
-// small snapshots and cut off silently, one at a time; a keeper that is cut off
-// from its peers is still asked. A user would see an accepted change revert, two
-// winners, a result that changes, a cancelled job that completes, or a plate
-// confirmation that is granted twice; some order of the calls must explain what
-// each was told.
+// Concurrent operators, gates and callers change teams, complete and cancel jobs and
+// claim keys, with lost answers and resends. Meanwhile keepers are stopped, restarted
+// from small snapshots and isolated, one at a time; clients still call a keeper that
+// is isolated from its peers. The histories must be linearizable: no accepted change
+// is reverted, no conflict has two winners, no result changes, no cancelled job
+// completes and no claim is granted twice.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	seed := uint64(setting("HISTORY_SEED", 1))
 	for range setting("HISTORY_RUNS", 2) {
@@ -224,13 +225,13 @@
 func checkHistories(t *testing.T, seed uint64) {
 	cluster := keepertest.StartCluster(t, 3, 3, func(config *replica.Config, options *keeper.Options) {
 		config.SnapshotEntries = 50
-		options.SessionTTL = time.Hour // no claim ends by itself: the model has no gates
+		options.SessionTTL = time.Hour // no session expires: the model has no expiry of claims
 	})
 	ids := prepare(t, cluster.Client())
 	teams, jobs, claims := &recorder{start: time.Now()}, &recorder{start: time.Now()}, &recorder{start: time.Now()}
-	var users, disturber sync.WaitGroup
+	var users, faults sync.WaitGroup
 	done := make(chan struct{})
-	disturber.Go(func() { disturb(cluster, rand.New(rand.NewPCG(seed, 0)), done) })
+	faults.Go(func() { injectFaults(cluster, rand.New(rand.NewPCG(seed, 0)), done) })
 	for number := range 6 {
 		u := newUser(cluster, number, seed)
 		users.Go(func() {
@@ -244,13 +245,13 @@
 	}
 	users.Wait()
 	close(done)
-	disturber.Wait()
-	check(t, "teams", model(object{value: "first", at: 2}, teamStep), teams.history)
+	faults.Wait()
+	check(t, "teams", model(object{value: "first", revision: 2}, teamStep), teams.history)
 	check(t, "jobs", model(object{state: string(job.StateRunning)}, jobStep), jobs.history)
 	check(t, "claims", model(object{}, claimStep), claims.history)
 }
 
-// prepare makes the team and 20 sealed jobs of one item each.
+// prepare creates the team and 20 sealed jobs of one item each.
 func prepare(t *testing.T, client *keeperclient.Client) []job.ID {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -285,7 +286,7 @@
 	t.Helper()
 	lost := 0
 	for _, op := range history {
-		if op.Output.(answerTo).lost {
+		if op.Output.(callResult).lost {
 			lost++
 		}
 	}
--- a/internal/keeper/inforce_test.go
+++ b/internal/keeper/inforce_test.go
@@ -14,13 +14,12 @@
 	"slateway.example/slateway/internal/team"
 )
 
-// A gate has just renewed its configuration lease when the leading keeper is
-// cut off from its peers. A new leader takes a change and knows nothing of the
-// gate. If it called the change in force at once, an operator would be told so
-// while the gate still serves by the old revision.
+// A gate renews its configuration lease just before the leader is isolated from its
+// peers. The new leader does not know the gate. It must not report a change as in
+// force before the gate's lease ends, while the gate still serves the old revision.
 //
-// Red without the wait of a new leader (Settling): in force 0.8 s before the end
-// of the lease.
+// Without the wait of a new leader (Settling), the change was reported as in force
+// 0.8 s before the end of the lease.
 func TestChangeIsNotInForceBeforeOldLeasesEnd(t *testing.T) {
 	cluster := keepertest.StartCluster(t, 3, 2, func(_ *replica.Config, options *keeper.Options) {
 		options.ConfigLease = 3 * time.Second
@@ -43,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	leader.SetCut(keepertest.CutPeers)
+	leader.SetIsolation(keepertest.IsolatedFromPeers)
 	second, err := operator.ApplyChange(ctx, team.Change{ID: "c2", Operator: "ann", PutTeam: &team.Team{Name: "council", Template: "newsdesk"}})
 	if err != nil {
 		t.Fatal(err)
@@ -55,7 +54,7 @@
 	}
 	progress, err := operator.ChangeStatus(ctx, second.Revision, 15*time.Second)
 	if err != nil || !progress.InForce {
-		t.Fatalf("the change never came in force: %+v, %v", progress, err)
+		t.Fatalf("the change did not come into force: %+v, %v", progress, err)
 	}
 	if left := time.Until(sent.Add(watched.Lease)); left > 0 {
 		t.Fatalf("in force %v before the gate's lease ends", left)
--- a/internal/keeper/jobcalls.go
+++ b/internal/keeper/jobcalls.go
@@ -40,7 +40,7 @@
 	return s.proposeStatus(ctx, request.Job, command{Cancel: request.Job})
 }
 
-// machineAfterBarrier returns the machine of a group after a read machineAfterBarrier: its
+// machineAfterBarrier returns the machine of a group after a read barrier: its
 // state includes everything that any caller was answered before this call.
 func (s *Service) machineAfterBarrier(ctx context.Context, group uint32) (*JobMachine, error) {
 	machine, err := s.machine(group)
--- a/internal/keeper/keeperclient/client.go
+++ b/internal/keeper/keeperclient/client.go
@@ -1,6 +1,6 @@
 // Package keeperclient calls the keepers on behalf of gates and operators. It
-// finds the leader of each group and repeats a call, under the same IDs, until
-// it is answered or its context ends.
+// finds the leader of each group and retries a call with the same IDs until it is
+// answered or its context ends.
 package keeperclient
 
 import (
@@ -16,66 +16,67 @@
 )
 
 const (
-	// attemptTimeout bounds the first attempt, beside the wait of a long poll;
-	// it doubles with each further one up to maxAttemptTimeout, for keepers that
-	// are slow and not gone. A frozen keeper, or a connection that went silent
-	// for good, shows as no answer at all; the call then goes to another keeper
-	// in place of waiting for its own deadline.
+	// attemptTimeout limits the first attempt, in addition to the wait of a long
+	// poll. A frozen keeper or a dead connection never answers, and the call then
+	// goes to another keeper instead of waiting for its deadline. The timeout
+	// doubles with each attempt, up to maxAttemptTimeout, for keepers that are only
+	// slow.
 	attemptTimeout    = time.Second
 	maxAttemptTimeout = 8 * time.Second
-	// retryDelay is the pause before asking again; an election takes a few.
+	// retryDelay is the initial delay between attempts. It doubles up to
+	// maxRetryDelay. An election takes several such delays.
 	retryDelay    = 20 * time.Millisecond
 	maxRetryDelay = 320 * time.Millisecond
-	// passOver is how long a keeper that did not answer is not asked again by the
-	// same call while there are others: an election after a leader froze takes up
-	// to 0.8 s here. A leader that was only slow is asked again after it.
-	passOver = 800 * time.Millisecond
+	// skipUnanswered is how long a call avoids a keeper that did not answer, if there
+	// are others. The election after a leader froze takes up to 0.8 s. After that a
+	// leader that was only slow is called again.
+	skipUnanswered = 800 * time.Millisecond
 )
 
 // Client calls the keepers. It is safe for concurrent use.
 type Client struct {
-	rpc       *rpc.Client
-	addresses func() []string
-	metrics   *telemetry.Metrics // nil: retries are not counted
-	patience  time.Duration      // for the first attempt of a call
-	hint      func(group uint32) string
+	rpc          *rpc.Client
+	addresses    func() []string
+	metrics      *telemetry.Metrics // nil: retries are not counted
+	firstTimeout time.Duration      // timeout of the first attempt of a call
+	hint         func(group uint32) string
 
 	mu      sync.Mutex
 	leaders map[uint32]string // last known, by group
 	groups  uint32            // zero until known
-	next    int               // address to ask when no leader is known
+	next    int               // index of the next address to try when no leader is known
 }
 
-// New makes a client of the keepers at the given peer addresses.
+// New creates a client of the keepers at the given peer addresses.
 func New(client *rpc.Client, addresses []string) *Client {
 	return NewDynamic(client, func() []string { return addresses })
 }
 
-// NewDynamic makes a client of keepers that come and go: addresses gives at
-// least one peer address to ask when no leader is known.
+// NewDynamic creates a client of a changing set of keepers. addresses returns the
+// peer addresses to try when no leader is known, at least one.
 func NewDynamic(client *rpc.Client, addresses func() []string) *Client {
 	return &Client{
-		rpc: client, addresses: addresses, leaders: make(map[uint32]string), patience: attemptTimeout,
+		rpc: client, addresses: addresses, leaders: make(map[uint32]string), firstTimeout: attemptTimeout,
 		hint: func(uint32) string { return "" },
 	}
 }
 
-// SetPatience bounds the first attempt of each call, for callers that are
-// themselves waited for. It is called before the first call.
-func (c *Client) SetPatience(patience time.Duration) { c.patience = patience }
+// SetFirstAttemptTimeout limits the first attempt of each call, for clients whose
+// own callers wait for the result. It must be called before the first call.
+func (c *Client) SetPatience(timeout time.Duration) { c.firstTimeout = timeout }
 
-// SetHint lets the client ask where the leader of a group is, empty if that is
-// not known: a VM that is a member itself learns of a new leader before any call
-// tells it. It is called before the first call.
+// SetLeaderHint sets a function that returns the address of a group's leader, empty
+// if it is not known. A VM that is a member of the group learns of a new leader
+// earlier than by the answer to a call. It must be called before the first call.
 func (c *Client) SetHint(hint func(group uint32) string) { c.hint = hint }
 
-// CountRetries makes the client count its retries by reason. It is called
+// CountRetries makes the client count its retries by reason. It must be called
 // before the first call.
 func (c *Client) CountRetries(metrics *telemetry.Metrics) { c.metrics = metrics }
 
-// retried counts a retry. An error without a reason is a broken connection or a
+// countRetry counts a retry. An error without a reason is a broken connection or a
 // keeper that did not answer.
-func (c *Client) retried(err error) {
+func (c *Client) countRetry(err error) {
 	if c.metrics == nil {
 		return
 	}
@@ -87,12 +88,12 @@
 	c.metrics.Retried("keeper_" + reason)
 }
 
-// call sends a request to the leader of a group. Wait is how long the keeper
-// may hold it.
+// call sends a request to the leader of a group and retries it until it is answered
+// or ctx ends. wait is how long the keeper may delay the answer of a long poll.
 func call[Req, Res any](ctx context.Context, c *Client, group uint32, wait time.Duration, p rpc.Procedure[Req, keeperapi.Reply[Res]], request *Req) (*Res, error) {
-	attempts := attempts{ran: apierr.RanNo, delay: retryDelay, timeout: c.patience}
+	attempts := attempts{ran: apierr.RanNo, delay: retryDelay, timeout: c.firstTimeout}
 	for ctx.Err() == nil {
-		address, hinted := c.target(group, attempts.avoided(time.Now()))
+		address, hinted := c.chooseAddress(group, attempts.addressToSkip(time.Now()))
 		attempt, cancel := context.WithTimeout(ctx, attempts.timeout+wait)
 		reply, err := rpc.Call(attempt, c.rpc, address, p, request)
 		cancel()
@@ -101,27 +102,27 @@
 			return reply.Value, nil
 		}
 		if err == nil {
-			c.follow(group, address, reply.NotLeader.Address)
-			// Without the pause, a call that passes over the leader would be sent in
-			// circles by the other keepers as fast as they answer.
-			if hinted || reply.NotLeader.Address == "" || reply.NotLeader.Address == attempts.failed {
-				attempts.pause(ctx)
+			c.updateLeader(group, address, reply.NotLeader.Address)
+			// While a call skips the leader, the other keepers redirect it to the leader
+			// at once. The delay prevents a busy loop.
+			if hinted || reply.NotLeader.Address == "" || reply.NotLeader.Address == attempts.failedAddress {
+				attempts.backOff(ctx)
 			}
 			continue
 		}
-		if final(err) {
+		if isPermanent(err) {
 			return nil, err
 		}
-		attempts.note(address, err)
-		c.retried(err)
-		c.follow(group, address, "")
-		attempts.pause(ctx)
+		attempts.recordFailure(address, err)
+		c.countRetry(err)
+		c.updateLeader(group, address, "")
+		attempts.backOff(ctx)
 	}
-	return nil, attempts.giveUp(ctx)
+	return nil, attempts.finalError(ctx)
 }
 
-// final reports whether asking again would give the same error.
-func final(err error) bool {
+// isPermanent reports whether a retry would fail with the same error.
+func isPermanent(err error) bool {
 	var known *apierr.Error
 	if !errors.As(err, &known) {
 		return false
@@ -134,36 +135,36 @@
 	}
 }
 
-// attempts keeps what is known of a call that is repeated.
+// attempts is the retry state of a call.
 type attempts struct {
-	ran     apierr.Ran // whether a keeper may have acted on it
-	last    error
-	delay   time.Duration // before the next one
-	timeout time.Duration // of the next one
-	failed  string        // address that did not answer the last one
-	since   time.Time     // when that was
+	ran           apierr.Ran // whether a keeper may have executed the call
+	lastError     error
+	delay         time.Duration // before the next attempt
+	timeout       time.Duration // of the next attempt
+	failedAddress string        // address that failed last
+	failedAt      time.Time     // time of that failure
 }
 
-// avoided is the address to pass over; empty: none.
-func (a *attempts) avoided(now time.Time) string {
-	if now.Sub(a.since) >= passOver {
+// addressToSkip returns the address that should not be called now, empty if none.
+func (a *attempts) addressToSkip(now time.Time) string {
+	if now.Sub(a.failedAt) >= skipUnanswered {
 		return ""
 	}
-	return a.failed
+	return a.failedAddress
 }
 
-func (a *attempts) note(address string, err error) {
-	a.last = err
-	a.failed, a.since = address, time.Now()
+func (a *attempts) recordFailure(address string, err error) {
+	a.lastError = err
+	a.failedAddress, a.failedAt = address, time.Now()
 	a.timeout = min(2*a.timeout, maxAttemptTimeout)
-	// Without an answer the keeper may have committed the call before the
-	// connection broke.
+	// A keeper that did not answer may have committed the call before the connection
+	// broke.
 	if apierr.From(err).Ran != apierr.RanNo {
 		a.ran = apierr.RanUnknown
 	}
 }
 
-func (a *attempts) pause(ctx context.Context) {
+func (a *attempts) backOff(ctx context.Context) {
 	timer := time.NewTimer(a.delay)
 	defer timer.Stop()
 	a.delay = min(2*a.delay, maxRetryDelay)
@@ -173,22 +174,22 @@
 	}
 }
 
-func (a *attempts) giveUp(ctx context.Context) error {
-	cause := a.last
+func (a *attempts) finalError(ctx context.Context) error {
+	cause := a.lastError
 	if cause == nil {
 		cause = ctx.Err()
 	}
-	return apierr.New(apierr.Unavailable, keeperapi.ReasonUnavailable, "send it again with the same IDs",
+	return apierr.New(apierr.Unavailable, keeperapi.ReasonUnavailable, "send the call again with the same IDs",
 		"no keeper answered in time: %v", cause).WithRan(a.ran).WithRetryAfter(maxRetryDelay)
 }
 
-// target gives the address to ask; hinted is false if it is only the next one.
+// chooseAddress returns the address to call: the known leader, the hinted leader or
+// else the next address in turn, for which hinted is false.
 //
-// The one that has just not answered is passed over for a while if there is
-// another: a frozen leader is still the one that everybody remembers, and asked
-// twice, the second time with twice the patience, it outlasts a caller that waits
-// a second.
-func (c *Client) target(group uint32, failed string) (address string, hinted bool) {
+// It skips the failed address if there is another one. A frozen leader remains the
+// last known leader, and a second attempt, with twice the timeout, would exceed the
+// deadline of a caller that waits for one second.
+func (c *Client) chooseAddress(group uint32, failed string) (address string, hinted bool) {
 	hint := c.hint(group)
 	known := c.addresses()
 	c.mu.Lock()
@@ -215,21 +216,21 @@
 	c.leaders[group] = address
 }
 
-// follow takes the hint of a keeper that does not lead the group, or forgets
-// the leader if that keeper was thought to be it.
-func (c *Client) follow(group uint32, asked, hint string) {
+// updateLeader records the leader that the called keeper returned as a hint. Without
+// a hint, it forgets the leader if that was the called keeper.
+func (c *Client) updateLeader(group uint32, called, hint string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if hint != "" && hint != asked {
+	if hint != "" && hint != called {
 		c.leaders[group] = hint
 		return
 	}
-	if c.leaders[group] == asked {
+	if c.leaders[group] == called {
 		delete(c.leaders, group)
 	}
 }
 
-// Groups gives the number of groups of the replicated state.
+// Groups returns the number of groups of the replicated state.
 func (c *Client) Groups(ctx context.Context) (uint32, error) {
 	c.mu.Lock()
 	known := c.groups
@@ -237,7 +238,7 @@
 	if known > 0 {
 		return known, nil
 	}
-	// Any keeper answers; the group only names a hint to start from.
+	// Any keeper answers this call. The group only selects the first address to try.
 	info, err := call(ctx, c, keeperapi.ConfigGroup, 0, keeperapi.Info, &keeperapi.InfoRequest{})
 	if err != nil {
 		return 0, err
--- a/internal/keeper/keeperclient/client_test.go
+++ b/internal/keeper/keeperclient/client_test.go
@@ -15,7 +15,8 @@
 	"slateway.example/slateway/internal/rpc"
 )
 
-// frozen accepts connections and never answers, as a stopped process does.
+// frozen starts a listener that accepts connections and never answers, like a stopped
+// process. It returns its address.
 func frozen(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -26,7 +27,8 @@
 	return listener.Addr().String()
 }
 
-// serving answers each read of the routes by reply.
+// serving starts a server that answers each ReadRoutes call with the result of reply.
+// It returns its address.
 func serving(t *testing.T, reply func(context.Context) *keeperapi.Reply[keeperapi.ReadRoutesResponse]) string {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -38,21 +40,23 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
+// answering starts a leader, which answers each ReadRoutes call. It returns its
+// address.
 func answering(t *testing.T) string {
 	return serving(t, func(context.Context) *keeperapi.Reply[keeperapi.ReadRoutesResponse] {
 		return &keeperapi.Reply[keeperapi.ReadRoutesResponse]{Value: &keeperapi.ReadRoutesResponse{Document: routes.Document{Version: 5}}}
 	})
 }
 
-// An operator's change is not acknowledged for more than four seconds, though the
-// configuration has a new leader after half a second: the leader before it froze,
-// and each control VM asked it again and again, with ever more patience.
+// Guards against a call that retries a frozen leader with ever longer timeouts. A
+// configuration change then took more than four seconds, although a new leader had
+// been elected after half a second.
 func TestAFrozenLeaderIsNotAskedTwice(t *testing.T) {
-	stopped, well := frozen(t), answering(t)
-	const patience = 300 * time.Millisecond
-	for name, hint := range map[string]string{"by the next address": "", "by what the VM itself knows": well} {
-		client := New(rpc.NewClient(&http.Client{}), []string{stopped, well})
-		client.SetPatience(patience)
+	stopped, healthy := frozen(t), answering(t)
+	const timeout = 300 * time.Millisecond
+	for name, hint := range map[string]string{"next address": "", "leader hint": healthy} {
+		client := New(rpc.NewClient(&http.Client{}), []string{stopped, healthy})
+		client.SetPatience(timeout)
 		client.SetHint(func(uint32) string { return hint })
 		client.setLeader(keeperapi.ConfigGroup, stopped)
 		began := time.Now()
@@ -60,31 +64,31 @@
 		if err != nil || document.Version != 5 {
 			t.Fatalf("%s: %+v, %v", name, document, err)
 		}
-		if took := time.Since(began); took > 2*patience {
+		if took := time.Since(began); took > 2*timeout {
 			t.Errorf("%s: took %s", name, took)
 		}
 	}
 }
 
-// A job stands still for ten seconds though its items are queued, the leader is
-// well and gates have room. Thirty gates asked for items at the same moment, and
-// the leader took longer for it than the first attempt waits. From then on each
-// gate asked only the other keepers, all of which sent it back to the leader.
+// Guards against a call that never returns to a leader that was slow once. When thirty
+// gates leased items at the same time, the leader exceeded the timeout of the first
+// attempt. Each gate then called only the other keepers, which all redirected it to the
+// leader, and the job made no progress for ten seconds.
 func TestALeaderThatWasSlowOnceIsAskedAgain(t *testing.T) {
-	const patience = 100 * time.Millisecond
-	var asked, sentBack atomic.Int64
+	const timeout = 100 * time.Millisecond
+	var calls, redirects atomic.Int64
 	slow := serving(t, func(ctx context.Context) *keeperapi.Reply[keeperapi.ReadRoutesResponse] {
-		if asked.Add(1) == 1 {
+		if calls.Add(1) == 1 {
 			<-ctx.Done()
 		}
 		return &keeperapi.Reply[keeperapi.ReadRoutesResponse]{Value: &keeperapi.ReadRoutesResponse{Document: routes.Document{Version: 5}}}
 	})
 	other := serving(t, func(context.Context) *keeperapi.Reply[keeperapi.ReadRoutesResponse] {
-		sentBack.Add(1)
+		redirects.Add(1)
 		return &keeperapi.Reply[keeperapi.ReadRoutesResponse]{NotLeader: &keeperapi.NotLeader{Address: slow}}
 	})
 	client := New(rpc.NewClient(&http.Client{}), []string{slow, other})
-	client.SetPatience(patience)
+	client.SetPatience(timeout)
 	client.setLeader(keeperapi.ConfigGroup, slow)
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
@@ -92,7 +96,7 @@
 	if err != nil || document.Version != 5 {
 		t.Fatalf("%+v, %v", document, err)
 	}
-	if n := sentBack.Load(); n > 20 {
-		t.Errorf("the other keeper was asked %d times", n)
+	if n := redirects.Load(); n > 20 {
+		t.Errorf("the other keeper was called %d times", n)
 	}
 }
--- a/internal/keeper/keeperclient/config.go
+++ b/internal/keeper/keeperclient/config.go
@@ -10,8 +10,8 @@
 	"slateway.example/slateway/internal/team"
 )
 
-// ApplyChange makes a change of the configuration. Its refusal is returned both
-// in the outcome, which names the winner of a lost race, and as the error.
+// ApplyChange applies a change to the configuration. A refusal is returned both as
+// the error and in the outcome, which identifies the winning change of a conflict.
 func (c *Client) ApplyChange(ctx context.Context, change team.Change) (team.Outcome, error) {
 	outcome, err := call(ctx, c, keeperapi.ConfigGroup, 0, keeperapi.ApplyChange, &change)
 	if err != nil {
@@ -24,21 +24,21 @@
 }
 
 // WatchConfig waits up to wait for a revision after applied. It acknowledges
-// applied for the gate on vm and renews its configuration lease, which counts
-// from before the call.
+// applied for the gate on vm and renews its configuration lease, which starts when
+// the request is sent.
 func (c *Client) WatchConfig(ctx context.Context, vm string, applied uint64, wait time.Duration) (*keeperapi.WatchResponse, error) {
 	return call(ctx, c, keeperapi.ConfigGroup, wait, keeperapi.WatchConfig, &keeperapi.WatchRequest{VM: vm, Applied: applied, Wait: wait})
 }
 
-// LeaveConfig ends the configuration lease of a gate that serves no longer, so
+// ReleaseConfigLease ends the configuration lease of a gate that is shutting down, so
 // that changes do not wait for it.
-func (c *Client) LeaveConfig(ctx context.Context, vm string) error {
+func (c *Client) ReleaseConfigLease(ctx context.Context, vm string) error {
 	_, err := call(ctx, c, keeperapi.ConfigGroup, 0, keeperapi.WatchConfig, &keeperapi.WatchRequest{VM: vm, Leaving: true})
 	return err
 }
 
-// ChangeStatus waits up to wait until a revision is in force everywhere and
-// names the gates that have not acknowledged it.
+// ChangeStatus waits up to wait until a revision is in force everywhere. It returns
+// the gates that have not acknowledged it.
 func (c *Client) ChangeStatus(ctx context.Context, revision uint64, wait time.Duration) (*keeperapi.ChangeProgress, error) {
 	return call(ctx, c, keeperapi.ConfigGroup, wait, keeperapi.ChangeStatus, &keeperapi.ChangeStatusRequest{Revision: revision, Wait: wait})
 }
@@ -52,12 +52,13 @@
 	return update.Full, update.Revision, nil
 }
 
-// ReplaceRoutes puts a document of routes in force if its version is the highest.
+// ReplaceRoutes replaces the routes in force by the document if its version is
+// higher.
 func (c *Client) ReplaceRoutes(ctx context.Context, document *routes.Document) (*routes.Outcome, error) {
 	return call(ctx, c, keeperapi.ConfigGroup, 0, keeperapi.ReplaceRoutes, document)
 }
 
-// RetireVM orders that a VM is to hold nothing any more.
+// RetireVM decommissions a VM, which must then hold no replicated state.
 func (c *Client) RetireVM(ctx context.Context, vm string) error {
 	_, err := call(ctx, c, keeperapi.ConfigGroup, 0, keeperapi.RetireVM, &keeperapi.RetireRequest{VM: vm})
 	return err
@@ -72,8 +73,8 @@
 	return &response.Document, nil
 }
 
-// RoutesVersion reads the version of the routes in force; known is one that the caller
-// has, so that it need not be sent.
+// RoutesVersion returns the version of the routes in force. known is a version that
+// the caller has, whose document need not be sent.
 func (c *Client) RoutesVersion(ctx context.Context, known uint64) (uint64, error) {
 	response, err := call(ctx, c, keeperapi.ConfigGroup, 0, keeperapi.ReadRoutes, &keeperapi.ReadRoutesRequest{Known: known})
 	if err != nil {
@@ -82,8 +83,8 @@
 	return response.Document.Version, nil
 }
 
-// ListTemplates lists the templates with the base revisions of their next
-// changes.
+// ListTemplates returns the templates, each with the base revision for its next
+// change.
 func (c *Client) ListTemplates(ctx context.Context) ([]team.VersionedTemplate, error) {
 	full, _, err := c.ReadConfig(ctx)
 	if err != nil {
@@ -92,7 +93,7 @@
 	return full.Templates, nil
 }
 
-// ListTeams lists the teams with the base revisions of their next changes.
+// ListTeams returns the teams, each with the base revision for its next change.
 func (c *Client) ListTeams(ctx context.Context) ([]team.VersionedTeam, error) {
 	full, _, err := c.ReadConfig(ctx)
 	if err != nil {
@@ -101,7 +102,7 @@
 	return full.Teams, nil
 }
 
-// GetTeam reads one team.
+// GetTeam returns one team.
 func (c *Client) GetTeam(ctx context.Context, name string) (team.VersionedTeam, error) {
 	teams, err := c.ListTeams(ctx)
 	if err != nil {
@@ -112,10 +113,10 @@
 			return candidate, nil
 		}
 	}
-	return team.VersionedTeam{}, apierr.New(apierr.NotFound, team.ReasonUnknownTeam, "list the teams to see their names", "there is no team %q", name)
+	return team.VersionedTeam{}, apierr.New(apierr.NotFound, team.ReasonUnknownTeam, "list the teams to see their names", "team %q does not exist", name)
 }
 
-// GetTemplate reads one template.
+// GetTemplate returns one template.
 func (c *Client) GetTemplate(ctx context.Context, name string) (team.VersionedTemplate, error) {
 	templates, err := c.ListTemplates(ctx)
 	if err != nil {
@@ -126,5 +127,5 @@
 			return candidate, nil
 		}
 	}
-	return team.VersionedTemplate{}, apierr.New(apierr.NotFound, team.ReasonUnknownTemplate, "list the templates to see their names", "there is no template %q", name)
+	return team.VersionedTemplate{}, apierr.New(apierr.NotFound, team.ReasonUnknownTemplate, "list the templates to see their names", "template %q does not exist", name)
 }
--- a/internal/keeper/keeperclient/jobs.go
+++ b/internal/keeper/keeperclient/jobs.go
@@ -12,7 +12,7 @@
 	"slateway.example/slateway/internal/keeper/keeperapi"
 )
 
-// jobGroup gives the group of a job.
+// jobGroup returns the group of a job.
 func (c *Client) jobGroup(ctx context.Context, id job.ID) (uint32, error) {
 	groups, err := c.Groups(ctx)
 	if err != nil {
@@ -21,7 +21,8 @@
 	return keeperapi.GroupOfJob(id, groups), nil
 }
 
-// CreateJob makes a job, or finds it if it was made before with this content.
+// CreateJob creates a job, or returns the existing one if it was created with the
+// same content.
 func (c *Client) CreateJob(ctx context.Context, spec job.Spec) (*job.Status, error) {
 	group, err := c.jobGroup(ctx, job.NewID(spec.Team, spec.Key))
 	if err != nil {
@@ -30,8 +31,8 @@
 	return call(ctx, c, group, 0, keeperapi.CreateJob, &spec)
 }
 
-// AddPart stores part number of an open job; it is acknowledged once a majority
-// of the keepers has synced it.
+// AddPart uploads one part of an open job. It returns when a majority of the keepers
+// has synced the part to disk.
 func (c *Client) AddPart(ctx context.Context, id job.ID, number int, items []job.Item) (*job.Status, error) {
 	size := 0
 	for i := range items {
@@ -47,7 +48,7 @@
 	return call(ctx, c, group, 0, keeperapi.AddPart, &keeperapi.AddPartRequest{Job: id, Number: number, Items: items})
 }
 
-// SealJob ends the upload of a job that has the given number of parts.
+// SealJob completes the upload of a job that has the given number of parts.
 func (c *Client) SealJob(ctx context.Context, id job.ID, parts int) (*job.Status, error) {
 	group, err := c.jobGroup(ctx, id)
 	if err != nil {
@@ -56,7 +57,7 @@
 	return call(ctx, c, group, 0, keeperapi.SealJob, &keeperapi.SealRequest{Job: id, Parts: parts})
 }
 
-// CancelJob ends a job for good.
+// CancelJob cancels a job permanently.
 func (c *Client) CancelJob(ctx context.Context, id job.ID) (*job.Status, error) {
 	group, err := c.jobGroup(ctx, id)
 	if err != nil {
@@ -65,7 +66,7 @@
 	return call(ctx, c, group, 0, keeperapi.CancelJob, &keeperapi.JobRequest{Job: id})
 }
 
-// JobStatus reads the status of a job.
+// JobStatus returns the status of a job.
 func (c *Client) JobStatus(ctx context.Context, id job.ID) (*job.Status, error) {
 	group, err := c.jobGroup(ctx, id)
 	if err != nil {
@@ -74,7 +75,7 @@
 	return call(ctx, c, group, 0, keeperapi.JobStatus, &keeperapi.JobRequest{Job: id})
 }
 
-// SubmitJob hands in a whole job. One that was accepted before is accepted again.
+// SubmitJob submits a whole job. It may be repeated with the same job.
 func (c *Client) SubmitJob(ctx context.Context, submission *job.Submission) (*job.Status, error) {
 	group, err := c.jobGroup(ctx, job.NewID(submission.Spec.Team, submission.Spec.Key))
 	if err != nil {
@@ -83,7 +84,7 @@
 	return call(ctx, c, group, 0, keeperapi.SubmitJob, submission)
 }
 
-// ListResults reads results of a job in the order in which they were made.
+// ListResults returns results of a job in completion order.
 func (c *Client) ListResults(ctx context.Context, request keeperapi.ListResultsRequest) (*keeperapi.ListResultsResponse, error) {
 	group, err := c.jobGroup(ctx, request.Job)
 	if err != nil {
@@ -92,7 +93,7 @@
 	return call(ctx, c, group, request.Wait, keeperapi.ListResults, &request)
 }
 
-// ReadItem reads an item of a running job by its caller's ID.
+// ReadItem returns an item of a running job by its custom ID.
 func (c *Client) ReadItem(ctx context.Context, id job.ID, customID string) (*job.Item, error) {
 	group, err := c.jobGroup(ctx, id)
 	if err != nil {
@@ -105,7 +106,8 @@
 	return &response.Item, nil
 }
 
-// Results reads up to limit results of a job from an item on, in item order.
+// Results returns up to limit results of a job in item order, starting with the item
+// from.
 func (c *Client) Results(ctx context.Context, id job.ID, from uint32, limit int) (*keeperapi.ResultsResponse, error) {
 	group, err := c.jobGroup(ctx, id)
 	if err != nil {
@@ -114,7 +116,7 @@
 	return call(ctx, c, group, 0, keeperapi.Results, &keeperapi.ResultsRequest{Job: id, From: from, Limit: limit})
 }
 
-// ListJobs lists the jobs of a team, newest first.
+// ListJobs returns the jobs of a team, newest first.
 func (c *Client) ListJobs(ctx context.Context, team string) ([]job.Status, error) {
 	groups, err := c.Groups(ctx)
 	if err != nil {
--- a/internal/keeper/keeperclient/lease.go
+++ b/internal/keeper/keeperclient/lease.go
@@ -10,28 +10,28 @@
 	"slateway.example/slateway/internal/keeper/keeperapi"
 )
 
-// Lease gets items to run, up to the wanted counts. It waits up to wait for
-// the first ones; without any it returns none.
+// Lease leases items to run, up to the wanted counts. It waits up to wait for the
+// first ones and returns none if none become available.
 func (s *Session) Lease(ctx context.Context, wants []job.Want, wait time.Duration) ([]keeperapi.LeasedItem, error) {
 	groups, err := s.client.Groups(ctx)
 	if err != nil {
 		return nil, err
 	}
-	items, err := s.sweep(ctx, groups, wants)
+	items, err := s.leaseFromGroups(ctx, groups, wants)
 	if len(items) > 0 || err != nil || wait <= 0 {
 		return items, err
 	}
-	if !s.await(ctx, groups, wants, wait) {
+	if !s.awaitItem(ctx, groups, wants, wait) {
 		return nil, nil
 	}
-	return s.sweep(ctx, groups, wants)
+	return s.leaseFromGroups(ctx, groups, wants)
 }
 
-// sweep asks the groups one after the other until the wants are met.
-func (s *Session) sweep(ctx context.Context, groups uint32, wants []job.Want) ([]keeperapi.LeasedItem, error) {
+// leaseFromGroups leases from one group after the other until the wants are met.
+func (s *Session) leaseFromGroups(ctx context.Context, groups uint32, wants []job.Want) ([]keeperapi.LeasedItem, error) {
 	left := append([]job.Want(nil), wants...)
 	var items []keeperapi.LeasedItem
-	start := s.rotate()
+	start := s.nextStart()
 	for i := range groups - 1 {
 		group := 1 + (start+i)%(groups-1)
 		found, err := s.leaseFrom(ctx, group, left)
@@ -42,22 +42,23 @@
 			return nil, err
 		}
 		items = append(items, found...)
-		if left = subtract(left, found); len(left) == 0 {
+		if left = remainingWants(left, found); len(left) == 0 {
 			break
 		}
 	}
 	return items, nil
 }
 
-func (s *Session) rotate() uint32 {
+// nextStart advances the group to lease from first, so that all groups take turns.
+func (s *Session) nextStart() uint32 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.start++
-	return s.start
+	s.nextOffset++
+	return s.nextOffset
 }
 
-// subtract gives what is still wanted beside the found items.
-func subtract(wants []job.Want, found []keeperapi.LeasedItem) []job.Want {
+// remainingWants returns the wants minus the leased items.
+func remainingWants(wants []job.Want, found []keeperapi.LeasedItem) []job.Want {
 	var left []job.Want
 	for _, want := range wants {
 		for _, item := range found {
@@ -74,52 +75,55 @@
 
 func (s *Session) leaseFrom(ctx context.Context, group uint32, wants []job.Want) ([]keeperapi.LeasedItem, error) {
 	in := s.group(group)
-	in.lease.Lock()
-	defer in.lease.Unlock()
-	id, err := s.ensure(ctx, group)
+	in.leaseMu.Lock()
+	defer in.leaseMu.Unlock()
+	id, err := s.ensureOpen(ctx, group)
 	if err != nil {
 		return nil, err
 	}
-	request := in.pendingRequest()
+	request := in.nextRequest()
 	response, err := call(ctx, s.client, group, 0, keeperapi.LeaseItems, &keeperapi.LeaseRequest{Group: group, Session: id, Request: request, Wants: wants})
-	if s.ended(group, id, err) {
-		return nil, nil // the next sweep opens it anew
+	if s.replaceIfEnded(group, id, err) {
+		return nil, nil // the next lease request opens the new session
 	}
 	if err != nil {
 		return nil, err
 	}
 	if response.Taken {
-		in.answered(request)
+		in.markUsed(request)
 	}
 	return response.Items, nil
 }
 
-// pendingRequest gives the number for the next lease request, that of the last
-// one as long as it has no answer. Its items may be leased to this session
-// already and would wait for its end if the answer were not asked for again.
-func (g *groupSession) pendingRequest() uint64 {
+// nextRequest returns the number of the next lease request. The number is reused
+// until a request is answered: its items may already be leased to this session, and
+// without a resend they would stay leased until the session ends.
+func (g *groupSession) nextRequest() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.request + 1
+	return g.lastRequest + 1
 }
 
-func (g *groupSession) answered(request uint64) {
+// markUsed records that the request has leased items, so that its number must not be
+// used again.
+func (g *groupSession) markUsed(request uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.request = request
+	g.lastRequest = request
 }
 
-// await waits until some group has an item.
-func (s *Session) await(ctx context.Context, groups uint32, wants []job.Want, wait time.Duration) bool {
-	// The keepers end the wait by themselves. Cut short here at the same moment,
-	// each wait would cost its connection and count as an unknown outcome.
+// awaitItem reports whether a group has an item available within wait. The next
+// lease starts with that group.
+func (s *Session) awaitItem(ctx context.Context, groups uint32, wants []job.Want, wait time.Duration) bool {
+	// The keepers end the wait themselves. Cancelling at the same moment would close
+	// the connection and count as an unknown outcome, so the timeout here is longer.
 	ctx, cancel := context.WithTimeout(ctx, wait+attemptTimeout)
 	defer cancel()
 	found := make(chan uint32, groups)
 	var calls errgroup.Group
 	for group := uint32(1); group < groups; group++ {
 		calls.Go(func() error {
-			request := &keeperapi.AwaitWorkRequest{Group: group, Wants: wants, Wait: wait, Session: s.current(group)}
+			request := &keeperapi.AwaitWorkRequest{Group: group, Wants: wants, Wait: wait, Session: s.currentID(group)}
 			response, err := call(ctx, s.client, group, wait, keeperapi.AwaitWork, request)
 			if err == nil && response.Available {
 				found <- group
@@ -128,7 +132,7 @@
 			return nil
 		})
 	}
-	_ = calls.Wait() // errors end as "no item"; the caller asks again
+	_ = calls.Wait() // an error counts as "no item", and the caller retries
 	select {
 	case group := <-found:
 		s.startAt(group)
@@ -138,9 +142,9 @@
 	}
 }
 
-// startAt makes the next sweep start at a group.
+// startAt makes the next lease start with the given group.
 func (s *Session) startAt(group uint32) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.start = group - 2 // rotate adds one, group 1 is at offset 0
+	s.nextOffset = group - 2 // nextStart adds one, and group 1 is at offset 0
 }
--- a/internal/keeper/keeperclient/session.go
+++ b/internal/keeper/keeperclient/session.go
@@ -16,33 +16,33 @@
 	"slateway.example/slateway/internal/keeper/keeperapi"
 )
 
-// Session is a gate's session with the job groups: under it the gate leases
-// items and claims requests. It is opened in each group at first use and
-// renewed by Heartbeat. It is safe for concurrent use.
+// Session is a gate's session with the job groups, within which it leases items and
+// claims requests. It is opened in each group at first use and renewed by Heartbeat.
+// It is safe for concurrent use.
 type Session struct {
 	client *Client
-	by     job.Run
+	run    job.Run
 	id     string
 
-	mu     sync.Mutex
-	groups map[uint32]*groupSession
-	start  uint32 // group at which the next sweep for items starts
+	mu         sync.Mutex
+	groups     map[uint32]*groupSession
+	nextOffset uint32 // offset of the group from which the next items are leased first
 }
 
 // groupSession is the session in one group.
 type groupSession struct {
-	lease sync.Mutex // held during a lease request: at most one is open
+	leaseMu sync.Mutex // held during a lease request, so that at most one is in flight
 
-	mu      sync.Mutex
-	open    bool
-	epoch   int    // how often it was opened anew after it had ended
-	request uint64 // number of the last lease request that took items
+	mu          sync.Mutex
+	open        bool
+	epoch       int    // number of times that the keepers have ended the session
+	lastRequest uint64 // number of the last lease request that leased items
 }
 
-// NewSession makes the session of one run of a gate. It ends those of earlier
-// runs on the same VM.
-func (c *Client) NewSession(by job.Run) *Session {
-	return &Session{client: c, by: by, id: by.VM + "/" + uuid.NewString(), groups: make(map[uint32]*groupSession)}
+// NewSession creates the session of one run of a gate's process. When it opens, it
+// ends the sessions of earlier runs on the same VM.
+func (c *Client) NewSession(run job.Run) *Session {
+	return &Session{client: c, run: run, id: run.VM + "/" + uuid.NewString(), groups: make(map[uint32]*groupSession)}
 }
 
 func (s *Session) group(number uint32) *groupSession {
@@ -56,8 +56,8 @@
 	return found
 }
 
-// ensure opens the session in a group, if it is not open, and gives its ID.
-func (s *Session) ensure(ctx context.Context, number uint32) (job.SessionID, error) {
+// ensureOpen opens the session in a group, if it is not open, and returns its ID.
+func (s *Session) ensureOpen(ctx context.Context, number uint32) (job.SessionID, error) {
 	in := s.group(number)
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -65,13 +65,13 @@
 	if in.open {
 		return id, nil
 	}
-	_, err := call(ctx, s.client, number, 0, keeperapi.OpenSession, &keeperapi.SessionRequest{Group: number, Session: id, VM: s.by.VM, Started: s.by.Started})
+	_, err := call(ctx, s.client, number, 0, keeperapi.OpenSession, &keeperapi.SessionRequest{Group: number, Session: id, VM: s.run.VM, Started: s.run.Started})
 	in.open = err == nil
 	return id, err
 }
 
-// current is the session's ID in a group, whether it is open there or not.
-func (s *Session) current(number uint32) job.SessionID {
+// currentID returns the session's ID in a group, whether it is open there or not.
+func (s *Session) currentID(number uint32) job.SessionID {
 	in := s.group(number)
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -82,10 +82,11 @@
 	return job.SessionID(fmt.Sprintf("%s/%d", s.id, epoch))
 }
 
-// ended notes that the keepers have ended the session in a group: the gate was
-// not heard of for too long. A new one takes its place; what runs under the old
-// one may be leased to others meanwhile, and the first result counts.
-func (s *Session) ended(number uint32, id job.SessionID, err error) bool {
+// replaceIfEnded reports whether err says that the keepers have ended the session in
+// a group, because it was not renewed in time. If so, a new ID replaces the ended
+// one. Items of the ended session may be leased to others while they still run here;
+// the first result counts.
+func (s *Session) replaceIfEnded(number uint32, id job.SessionID, err error) bool {
 	if !isUnknownSession(err) {
 		return false
 	}
@@ -93,11 +94,11 @@
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	if id != s.idAt(in.epoch) {
-		return true // another call noted it first
+		return true // already replaced by a concurrent call
 	}
 	in.open = false
 	in.epoch++
-	in.request = 0
+	in.lastRequest = 0
 	return true
 }
 
@@ -106,8 +107,8 @@
 	return errors.As(err, &known) && known.Reason == job.ReasonUnknownSession
 }
 
-// opened lists the groups in which the session is open.
-func (s *Session) opened() []uint32 {
+// openGroups returns the groups in which the session is open.
+func (s *Session) openGroups() []uint32 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var open []uint32
@@ -121,9 +122,9 @@
 	return open
 }
 
-// Heartbeat renews the session in all groups; a gate sends it a few times in
-// each session TTL. Of the jobs that the gate runs items of it gives those that
-// are cancelled or gone: their items are to be stopped.
+// Heartbeat renews the session in all groups. A gate sends it several times per
+// session TTL. running are the jobs whose items the gate is running. Heartbeat
+// returns those that are cancelled or gone, whose items the gate must stop.
 func (s *Session) Heartbeat(ctx context.Context, running []job.ID) (ended []job.ID, err error) {
 	groups, err := s.client.Groups(ctx)
 	if err != nil {
@@ -136,12 +137,12 @@
 	}
 	var mu sync.Mutex
 	var calls errgroup.Group
-	for _, group := range withGroupsOf(byGroup, s.opened()) {
+	for _, group := range addRunningGroups(byGroup, s.openGroups()) {
 		calls.Go(func() error {
-			stopped, err := s.beat(ctx, group, byGroup[group])
+			endedHere, err := s.heartbeatIn(ctx, group, byGroup[group])
 			mu.Lock()
 			defer mu.Unlock()
-			ended = append(ended, stopped...)
+			ended = append(ended, endedHere...)
 			return err
 		})
 	}
@@ -149,9 +150,10 @@
 	return ended, err
 }
 
-// withGroupsOf adds the groups whose jobs still run here though the keepers have
-// ended the session there: they too are asked which of those jobs have ended.
-func withGroupsOf(running map[uint32][]job.ID, open []uint32) []uint32 {
+// addRunningGroups adds the groups of the running jobs to the open groups. Items may
+// still run in a group whose keepers have ended the session, and that group too must
+// be asked which of the jobs have ended.
+func addRunningGroups(running map[uint32][]job.ID, open []uint32) []uint32 {
 	for group := range running {
 		if !slices.Contains(open, group) {
 			open = append(open, group)
@@ -160,21 +162,21 @@
 	return open
 }
 
-func (s *Session) beat(ctx context.Context, group uint32, running []job.ID) ([]job.ID, error) {
-	id, err := s.ensure(ctx, group)
+func (s *Session) heartbeatIn(ctx context.Context, group uint32, running []job.ID) ([]job.ID, error) {
+	id, err := s.ensureOpen(ctx, group)
 	if err != nil {
 		return nil, err
 	}
 	response, err := call(ctx, s.client, group, 0, keeperapi.Heartbeat, &keeperapi.HeartbeatRequest{Group: group, Session: id, Running: running})
 	if err != nil {
-		s.ended(group, id, err)
+		s.replaceIfEnded(group, id, err)
 		return nil, err
 	}
 	return response.Ended, nil
 }
 
-// Complete reports how attempts ended. It returns once the keepers have stored
-// or dropped all of them; it may be repeated.
+// Complete reports the results of attempts. It returns when the keepers have stored
+// or dropped all of them. It may be repeated.
 func (s *Session) Complete(ctx context.Context, results []job.Result) error {
 	groups, err := s.client.Groups(ctx)
 	if err != nil {
@@ -183,7 +185,7 @@
 	byGroup := make(map[uint32][]job.Result)
 	for _, result := range results {
 		group := keeperapi.GroupOfJob(result.Job, groups)
-		byGroup[group] = append(byGroup[group], bounded(result))
+		byGroup[group] = append(byGroup[group], limitResultSize(result))
 	}
 	var calls errgroup.Group
 	for group, results := range byGroup {
@@ -192,23 +194,24 @@
 	return calls.Wait()
 }
 
-// bounded replaces an answer that is too large for a call by a failure. The
-// keepers would refuse it at each try, and its job would never end.
-func bounded(result job.Result) job.Result {
+// limitResultSize replaces an answer that is too large for a call by a failure. The
+// keepers would refuse it at each attempt, and its job would never end.
+func limitResultSize(result job.Result) job.Result {
 	if len(result.Body) <= keeperapi.MaxResultBytes {
 		return result
 	}
-	result.Message = fmt.Sprintf("the answer has %d bytes, %d are allowed", len(result.Body), keeperapi.MaxResultBytes)
+	result.Message = fmt.Sprintf("the answer has %d bytes; the limit is %d", len(result.Body), keeperapi.MaxResultBytes)
 	result.Outcome, result.Reason, result.Body = job.OutcomeFailed, keeperapi.ReasonResultTooLarge, nil
 	return result
 }
 
-// maxCompleteBytes bounds the answers in one call, the last one excepted.
+// maxCompleteBytes is the size of the answers in one call after which no further
+// answer is added.
 const maxCompleteBytes = keeperapi.MaxMessageBytes / 4
 
 func (s *Session) completeIn(ctx context.Context, group uint32, results []job.Result) error {
 	for len(results) > 0 {
-		id, err := s.ensure(ctx, group)
+		id, err := s.ensureOpen(ctx, group)
 		if err != nil {
 			return err
 		}
@@ -226,8 +229,8 @@
 	return nil
 }
 
-// Claim asks for the right to run a non-idempotent request. The ID names this
-// attempt by the gate and is used again in FinishClaim.
+// Claim requests the exclusive right to run a non-idempotent request. id identifies
+// this attempt of the gate and must be passed to FinishClaim.
 func (s *Session) Claim(ctx context.Context, team, key string, fingerprint uint64, id string) (*keeperapi.ClaimResponse, error) {
 	groups, err := s.client.Groups(ctx)
 	if err != nil {
@@ -235,13 +238,13 @@
 	}
 	group := keeperapi.GroupOfClaim(team, key, groups)
 	for {
-		session, err := s.ensure(ctx, group)
+		session, err := s.ensureOpen(ctx, group)
 		if err != nil {
 			return nil, err
 		}
 		request := &claim.Request{Team: team, Key: key, Fingerprint: fingerprint, ID: id, Session: session}
 		response, err := call(ctx, s.client, group, 0, keeperapi.Claim, request)
-		if !s.ended(group, session, err) {
+		if !s.replaceIfEnded(group, session, err) {
 			return response, err
 		}
 	}
@@ -258,17 +261,17 @@
 	return err
 }
 
-// Close ends the session in all groups, so that its items are leased to others
+// Close ends the session in all groups, so that its items can be leased to others
 // at once.
 func (s *Session) Close(ctx context.Context) error {
 	var calls errgroup.Group
-	for _, group := range s.opened() {
+	for _, group := range s.openGroups() {
 		calls.Go(func() error {
-			id, err := s.ensure(ctx, group)
+			id, err := s.ensureOpen(ctx, group)
 			if err != nil {
 				return err
 			}
-			_, err = call(ctx, s.client, group, 0, keeperapi.CloseSession, &keeperapi.SessionRequest{Group: group, Session: id, VM: s.by.VM})
+			_, err = call(ctx, s.client, group, 0, keeperapi.CloseSession, &keeperapi.SessionRequest{Group: group, Session: id, VM: s.run.VM})
 			return err
 		})
 	}
--- a/internal/keeper/keeperclient/watcher.go
+++ b/internal/keeper/keeperclient/watcher.go
@@ -11,35 +11,35 @@
 )
 
 const (
-	// watchWait is how long a watch waits for a change. The lease is renewed at
-	// each answer, so it stays well below the lease.
+	// watchWait is the wait of a watch call for a change. It is much shorter than the
+	// lease, because each answer renews the lease.
 	watchWait = time.Second
-	// watchRetry is the pause after a watch that no keeper answered.
+	// watchRetry is the delay after a failed watch call.
 	watchRetry = 200 * time.Millisecond
-	// watchTimeout bounds one watch with all its attempts.
+	// watchTimeout limits one watch call with all its attempts.
 	watchTimeout = 15 * time.Second
 )
 
-// Watcher keeps a gate's configuration current and holds its lease. It is safe
-// for concurrent use; Run must run beside it.
+// Watcher keeps a gate's configuration up to date and its configuration lease
+// renewed while Run is running. It is safe for concurrent use.
 type Watcher struct {
 	client *Client
 	vm     string
 	log    *zap.Logger
 
-	mu     sync.RWMutex
-	view   *team.View
-	until  time.Time // end of the lease
-	change chan struct{}
+	mu       sync.RWMutex
+	view     *team.View
+	leaseEnd time.Time // of the configuration lease
+	change   chan struct{}
 }
 
-// NewWatcher makes the watcher of the gate on vm, empty until Run has heard
-// from a keeper.
+// NewWatcher creates the watcher of the gate on vm. Its configuration is empty until
+// Run has received the first update.
 func NewWatcher(client *Client, vm string, log *zap.Logger) *Watcher {
 	return &Watcher{client: client, vm: vm, log: log, view: team.NewView(), change: make(chan struct{})}
 }
 
-// Run follows the configuration until ctx ends, then gives the lease up.
+// Run follows the configuration until ctx ends and then releases the lease.
 func (w *Watcher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := w.poll(ctx); err != nil && ctx.Err() == nil {
@@ -47,18 +47,19 @@
 			sleep(ctx, watchRetry)
 		}
 	}
-	leaving, cancel := context.WithTimeout(context.WithoutCancel(ctx), attemptTimeout)
+	releaseCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), attemptTimeout)
 	defer cancel()
-	if err := w.client.LeaveConfig(leaving, w.vm); err != nil {
-		w.log.Info("configuration lease not given up, it runs out", zap.Error(err))
+	if err := w.client.ReleaseConfigLease(releaseCtx, w.vm); err != nil {
+		w.log.Info("failed to release the configuration lease, it will expire", zap.Error(err))
 	}
 }
 
 func (w *Watcher) poll(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
-	// The lease counts from here. Counted from the answer, it could outlast the
-	// keeper's own count, which says when the change is in force without us.
+	// The lease starts before the request is sent. If it started at the answer, it
+	// could end after the keeper's record of it, and a change could be reported as in
+	// force while this gate still serves the old revision.
 	sent := time.Now()
 	response, err := w.client.WatchConfig(ctx, w.vm, w.Revision(), watchWait)
 	if err != nil {
@@ -66,40 +67,40 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	moved := w.view.Apply(response.Update)
-	if until := sent.Add(response.Lease); until.After(w.until) {
-		w.until = until
+	changed := w.view.Apply(response.Update)
+	if until := sent.Add(response.Lease); until.After(w.leaseEnd) {
+		w.leaseEnd = until
 	}
-	if moved {
+	if changed {
 		close(w.change)
 		w.change = make(chan struct{})
 	}
 	return nil
 }
 
-// Revision is the revision by which the gate serves.
+// Revision returns the revision that the gate serves.
 func (w *Watcher) Revision() uint64 {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
 	return w.view.Revision()
 }
 
-// LeaseUntil gives the end of the configuration lease. After it a change may be
-// in force that this gate does not know.
+// LeaseUntil returns the end of the configuration lease. After it, a change may be
+// in force that this gate has not received.
 func (w *Watcher) LeaseUntil() time.Time {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
-	return w.until
+	return w.leaseEnd
 }
 
-// Changed gives a channel that closes at the next change.
+// Changed returns a channel that the next change closes.
 func (w *Watcher) Changed() <-chan struct{} {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
 	return w.change
 }
 
-// Authenticate finds the policy of the team that owns a bearer token.
+// Authenticate returns the policy of the team that owns a bearer token.
 func (w *Watcher) Authenticate(token string) (*team.Policy, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -110,15 +111,15 @@
 	return w.view.Policy(name)
 }
 
-// Policy gives the policy of a team. It is shared and must not be changed.
+// Policy returns the policy of a team. It is shared and must not be modified.
 func (w *Watcher) Policy(name string) (*team.Policy, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.view.Policy(name)
 }
 
-// Policies gives the policies of all teams. They are shared and must not be
-// changed.
+// Policies returns the policies of all teams. They are shared and must not be
+// modified.
 func (w *Watcher) Policies() []*team.Policy {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/keeper/keepertest/cluster.go
+++ b/internal/keeper/keepertest/cluster.go
@@ -24,10 +24,10 @@
 type Cluster struct {
 	Keepers []*Keeper
 
-	tb     testing.TB
-	groups uint32
-	voters []replica.Voter
-	set    func(*replica.Config, *keeper.Options)
+	tb        testing.TB
+	groups    uint32
+	voters    []replica.Voter
+	configure func(*replica.Config, *keeper.Options)
 }
 
 // Keeper is a keeper of a Cluster.
@@ -36,28 +36,28 @@
 	Address string
 	Host    *replica.Host
 
-	folder string
-	server *http.Server
-	cancel context.CancelFunc
-	cut    atomic.Int32 // an Isolation
+	folder    string
+	server    *http.Server
+	cancel    context.CancelFunc
+	isolation atomic.Int32 // an Isolation
 }
 
 // Isolation selects the callers whose calls to a keeper hang without an error, as
 // with a frozen process or a network that drops packets.
-type Cut int32
+type Isolation int32
 
 // Values of Isolation.
 const (
-	CutNothing Cut = iota
-	CutPeers       // calls to and from the other keepers; gates and operators still reach it
-	CutAll
+	NotIsolated       Isolation = iota
+	IsolatedFromPeers           // calls to and from the other keepers; gates and operators still reach it
+	IsolatedFromAll
 )
 
-// StartCluster starts count keepers, which stop at the end of the test. set, which
-// may be nil, adjusts the settings of each.
-func StartCluster(tb testing.TB, count int, groups uint32, set func(*replica.Config, *keeper.Options)) *Cluster {
+// StartCluster starts count keepers, which stop at the end of the test. configure,
+// which may be nil, adjusts the settings of each.
+func StartCluster(tb testing.TB, count int, groups uint32, configure func(*replica.Config, *keeper.Options)) *Cluster {
 	tb.Helper()
-	c := &Cluster{tb: tb, groups: groups, set: set}
+	c := &Cluster{tb: tb, groups: groups, configure: configure}
 	var listeners []net.Listener
 	for i := range count {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -95,8 +95,8 @@
 			return options.Jobs[group-1], nil
 		},
 	}
-	if c.set != nil {
-		c.set(&config, &options)
+	if c.configure != nil {
+		c.configure(&config, &options)
 	}
 	host, err := replica.Open(config)
 	if err != nil {
@@ -120,11 +120,11 @@
 // guard forwards requests and hangs those from which the keeper is isolated.
 func (k *Keeper) guard(peers, calls *http.ServeMux) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		handler, cutFrom := calls, CutAll
+		handler, isolation := calls, IsolatedFromAll
 		if _, pattern := peers.Handler(r); pattern != "" {
-			handler, cutFrom = peers, CutPeers
+			handler, isolation = peers, IsolatedFromPeers
 		}
-		if k.isCut(cutFrom) {
+		if k.isIsolated(isolation) {
 			<-r.Context().Done()
 			return
 		}
@@ -132,11 +132,11 @@
 	})
 }
 
-func (k *Keeper) isCut(from Cut) bool { return Cut(k.cut.Load()) >= from }
+func (k *Keeper) isIsolated(from Isolation) bool { return Isolation(k.isolation.Load()) >= from }
 
 // RoundTrip sends a call to another keeper, or hangs it if the keeper is isolated.
 func (k *Keeper) RoundTrip(r *http.Request) (*http.Response, error) {
-	if k.isCut(CutPeers) {
+	if k.isIsolated(IsolatedFromPeers) {
 		<-r.Context().Done()
 		return nil, r.Context().Err()
 	}
@@ -144,7 +144,7 @@
 }
 
 // SetIsolation isolates the keeper from its callers, or reconnects it.
-func (k *Keeper) SetCut(cut Cut) { k.cut.Store(int32(cut)) }
+func (k *Keeper) SetIsolation(isolation Isolation) { k.isolation.Store(int32(isolation)) }
 
 // Stop stops the keeper.
 func (k *Keeper) Stop() {
@@ -184,23 +184,23 @@
 	for _, k := range c.Keepers {
 		addresses = append(addresses, k.Address)
 	}
-	return keeperclient.New(rpc.NewClient(&http.Client{Transport: &lossy{transport: transport, lose: lose}}), addresses)
+	return keeperclient.New(rpc.NewClient(&http.Client{Transport: &lossyTransport{transport: transport, lose: lose}}), addresses)
 }
 
-// lossy is a transport that may lose responses.
-type lossy struct {
+// lossyTransport is a transport that may lose responses.
+type lossyTransport struct {
 	transport http.RoundTripper
 	lose      func() bool
 }
 
-var errAnswerLost = errors.New("connection reset")
+var errResponseLost = errors.New("connection reset")
 
 // RoundTrip sends a call and may lose its response.
-func (l *lossy) RoundTrip(r *http.Request) (*http.Response, error) {
+func (l *lossyTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	response, err := l.transport.RoundTrip(r)
 	if err == nil && l.lose() {
 		_ = response.Body.Close()
-		return nil, errAnswerLost
+		return nil, errResponseLost
 	}
 	return response, err
 }
--- a/internal/keeper/leadership.go
+++ b/internal/keeper/leadership.go
@@ -80,6 +80,8 @@
 	return 0, known && leader.ID == s.options.Self
 }
 
+// recordTick records the time of this tick and returns that of the previous one, or
+// now at the first tick.
 func (s *Service) recordTick(now time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/keeper/measure_test.go
+++ b/internal/keeper/measure_test.go
@@ -33,7 +33,7 @@
 	bodyBytes      = 400
 )
 
-// setting reads a size of the measurement from the environment.
+// setting returns a benchmark parameter from the environment.
 func setting(name string, fallback int) int {
 	if value, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return value
@@ -42,8 +42,8 @@
 }
 
 // BenchmarkItemsEndToEnd uploads, leases, completes and reads the items of
-// several jobs through 3 keepers, with 8 gates. ITEMS and JOBS set the size;
-// MAX_BATCH=1 makes the log sync once for each entry.
+// several jobs through 3 keepers, with 8 gates. ITEMS and JOBS set the size.
+// MAX_BATCH=1 makes the log sync each entry separately.
 func BenchmarkItemsEndToEnd(b *testing.B) {
 	items, jobs := setting("ITEMS", 20_000), setting("JOBS", 8)
 	items -= items % jobs
@@ -104,8 +104,8 @@
 	return ids
 }
 
-// execute runs at least items items, more if the last ones are leased together,
-// and gives their number.
+// execute runs at least the given number of items and returns how many it ran. These
+// may be more, because items are leased several at a time.
 func execute(b testing.TB, client *keeperclient.Client, items int) int {
 	var done atomic.Int64
 	var gates errgroup.Group
@@ -119,7 +119,7 @@
 	return int(done.Load())
 }
 
-// gate leases and completes until all gates together have done all items.
+// gate leases and completes items until all gates together have completed items.
 func gate(session *keeperclient.Session, done *atomic.Int64, items int64) error {
 	ctx := context.Background()
 	for done.Load() < items {
@@ -162,7 +162,7 @@
 	return int(count.Load())
 }
 
-// BenchmarkState measures what items cost in memory, in a snapshot and at a
+// BenchmarkState measures the cost of items in memory, in a snapshot and at a
 // restart, in the job group of a single keeper. ITEMS and JOBS set the size.
 func BenchmarkState(b *testing.B) {
 	items, jobs := setting("ITEMS", 100_000), setting("JOBS", 1)
@@ -183,8 +183,8 @@
 	}
 }
 
-// BenchmarkClaim measures what the claim of a non-idempotent online request adds
-// before it is sent, and its report afterwards, through 3 keepers.
+// BenchmarkClaim measures the latency that claiming a non-idempotent online request
+// adds before it is sent, and that of reporting its outcome, through 3 keepers.
 func BenchmarkClaim(b *testing.B) {
 	client := keepertest.StartCluster(b, 3, measuredGroups, nil).Client()
 	session := client.NewSession(job.Run{VM: "vm-gate"})
@@ -209,7 +209,7 @@
 	b.ReportMetric(float64(reporting.Microseconds())/float64(n), "µs/report")
 }
 
-// openMachine serves one job group without a log.
+// openMachine starts a service with one job group and no log.
 func openMachine(b *testing.B) (*keeper.JobMachine, *keeperclient.Client) {
 	machine := keeper.NewJobMachine(b.TempDir(), func(err error) { panic(err) })
 	config := keeper.NewConfigMachine()
@@ -240,7 +240,7 @@
 	b.ReportMetric(float64(time.Since(started).Milliseconds()), when+"-restore-ms")
 }
 
-// heapInUse gives the bytes of live objects.
+// heapInUse returns the size of the live objects in bytes.
 func heapInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
--- a/internal/keeper/offers_test.go
+++ b/internal/keeper/offers_test.go
@@ -13,7 +13,7 @@
 	wordroom    = job.Queue{Service: "wordroom"}
 )
 
-// stock counts the items that can be leased.
+// stock is the number of items that can be leased.
 type stock int
 
 func (s *stock) ready(_ job.Queue, limit int) int { return min(int(*s), limit) }
@@ -24,7 +24,8 @@
 
 func gateSession(i int) job.SessionID { return job.SessionID(fmt.Sprintf("gate-%03d", i)) }
 
-// leaseAll lets every waiting gate that is told of items lease them, and gives what each got.
+// leaseAll makes all gates wait, lets each one that gets an offer lease its items,
+// and returns the number of items that each gate leased.
 func leaseAll(o *offers, s *stock, gates int, wants func(i int) []job.Want, now time.Time) []int {
 	got := make([]int, gates)
 	for i := range gates {
@@ -43,7 +44,8 @@
 	return got
 }
 
-// Guards against a job whose items all run at one gate, while the engines of others stand idle.
+// Guards against one gate leasing all items of a job while the engines of other gates
+// are idle.
 func TestItemsAreSharedAmongTheWaitingGates(t *testing.T) {
 	const gates = 130
 	o, s := newOffers(), stock(0)
@@ -55,7 +57,7 @@
 			held[i] += count
 		}
 		if s != 0 {
-			t.Fatalf("round %d: %d items left beside free slots", round, s)
+			t.Fatalf("round %d: %d items were not leased although slots are free", round, s)
 		}
 	}
 	for i, count := range held {
@@ -65,7 +67,8 @@
 	}
 }
 
-// Guards against items that are kept back from the gates that ask, when there are more items than room.
+// Guards against items being withheld from gates when there are more items than free
+// slots.
 func TestAllIsHandedOutWhenThereIsMoreThanRoom(t *testing.T) {
 	o, s := newOffers(), stock(100)
 	got := leaseAll(o, &s, 3, func(int) []job.Want { return wantOf(8, 0) }, offersStart)
@@ -75,29 +78,30 @@
 		}
 	}
 	if got := o.limitWants(1, "another", wantOf(5, 3), s.ready, offersStart)[0].Max; got != 5 {
-		t.Errorf("a gate that asks without waiting gets %d of 5", got)
+		t.Errorf("a gate that leases without waiting gets %d of 5", got)
 	}
 }
 
-// Guards against items that wait for a gate that was told of them and does not come.
+// Guards against items staying reserved for a gate that got an offer and never leases
+// them.
 func TestItemsOfAGateThatDoesNotComeGoToTheNext(t *testing.T) {
 	o, s := newOffers(), stock(1)
 	o.addWaiter(1, "frozen", wantOf(9, 0))
 	o.addWaiter(1, "other", wantOf(4, 5))
 	if o.makeOffer(1, "other", wantOf(4, 5), s.ready, offersStart) {
-		t.Fatal("a fuller gate is told first")
+		t.Fatal("a more loaded gate got the first offer")
 	}
 	if !o.makeOffer(1, "frozen", wantOf(9, 0), s.ready, offersStart) {
-		t.Fatal("the emptiest gate is not told")
+		t.Fatal("the least loaded gate got no offer")
 	}
 	if got := o.limitWants(1, "third", wantOf(9, 0), s.ready, offersStart)[0].Max; got != 0 {
-		t.Errorf("another gate may lease %d items that are promised", got)
+		t.Errorf("another gate may lease %d items that are offered to the first one", got)
 	}
 	later := offersStart.Add(offerTTL)
 	if end := o.nextExpiry(1, offersStart); end > offerTTL {
-		t.Errorf("the next gate is told after %s", end)
+		t.Errorf("the offer expires only after %s", end)
 	}
 	if !o.makeOffer(1, "other", wantOf(4, 5), s.ready, later) {
-		t.Error("the item is told to nobody else")
+		t.Error("the item of the expired offer is not offered to another gate")
 	}
 }
--- a/internal/keeper/restart_test.go
+++ b/internal/keeper/restart_test.go
@@ -16,9 +16,9 @@
 
 const changeCount = 1000
 
-// All keepers restart after a thousand changes, as after a power cut in the one
-// data centre of a small site. Operators must find every change, and one who
-// resends the very first must get its first answer, not a conflict with himself.
+// All keepers restart after 1000 changes, as after a power failure in the only data
+// centre of a small site. Every change must survive, and a resend of the first change
+// must return its original answer and not a conflict.
 func TestRestartOfAllKeepersAfterManyChanges(t *testing.T) {
 	cluster := keepertest.StartCluster(t, 3, 2, nil)
 	client := cluster.Client()
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("read %v after the restart", time.Since(started))
+	t.Logf("configuration readable %v after the restart", time.Since(started))
 	if revision != changeCount+1 || len(full.Teams) != changeCount {
 		t.Errorf("revision %d, %d teams", revision, len(full.Teams))
 	}
@@ -72,9 +72,9 @@
 	}
 }
 
-// BenchmarkChanges measures changes a second and the latency of one operator,
-// with KEEPERS keepers, and how long no change passes after the leader
-// stops and hands over, and after the next one freezes.
+// BenchmarkChanges measures, with KEEPERS keepers, the changes per second, the latency
+// for a single operator, and the time without changes after the leader stops and
+// hands over, and after the next leader freezes.
 func BenchmarkChanges(b *testing.B) {
 	template, err := team.ParseTemplate("newsdesk", nil)
 	if err != nil {
@@ -100,8 +100,8 @@
 		started = time.Now()
 		change(ctx, b, client, "handed-over")
 		b.ReportMetric(float64(time.Since(started).Milliseconds()), "handover-ms")
-		if len(cluster.Keepers) > 3 { // a second one may be lost
-			cluster.Leader(0).SetCut(keepertest.CutAll)
+		if len(cluster.Keepers) > 3 { // the cluster tolerates the loss of a second keeper
+			cluster.Leader(0).SetIsolation(keepertest.IsolatedFromAll)
 			started = time.Now()
 			change(ctx, b, client, "frozen")
 			b.ReportMetric(float64(time.Since(started).Milliseconds()), "frozen-ms")
--- a/internal/keeper/service_test.go
+++ b/internal/keeper/service_test.go
@@ -34,14 +34,14 @@
 
 const groups = 3
 
-// bench is a keeper service of one member on loopback.
-type bench struct {
+// fixture is a keeper service with a single member on loopback.
+type fixture struct {
 	local  *keepertest.Local
 	client *keeperclient.Client
 	counts *telemetry.Metrics
 }
 
-func newBench(sessionTTL, configLease time.Duration) *bench {
+func newFixture(sessionTTL, configLease time.Duration) *fixture {
 	config := keeper.NewConfigMachine()
 	machines := []replica.Machine{config}
 	var jobs []*keeper.JobMachine
@@ -65,10 +65,10 @@
 	DeferCleanup(cancel)
 	go service.Run(ctx)
 	address := strings.TrimPrefix(server.URL, "http://")
-	return &bench{local: local, counts: counts, client: keeperclient.New(rpc.NewClient(server.Client()), []string{address})}
+	return &fixture{local: local, counts: counts, client: keeperclient.New(rpc.NewClient(server.Client()), []string{address})}
 }
 
-func (b *bench) restart() {
+func (b *fixture) restart() {
 	for group := range uint32(groups) {
 		Expect(b.local.Reopen(group)).To(Succeed())
 	}
@@ -88,8 +88,8 @@
 	return list
 }
 
-// submit makes a sealed job of parts of 10 items each.
-func (b *bench) submit(ctx context.Context, spec job.Spec, parts int) job.ID {
+// submit creates a sealed job with the given number of parts of 10 items each.
+func (b *fixture) submit(ctx context.Context, spec job.Spec, parts int) job.ID {
 	status, err := b.client.CreateJob(ctx, spec)
 	Expect(err).NotTo(HaveOccurred())
 	for number := range parts {
@@ -101,7 +101,8 @@
 	return status.ID
 }
 
-// run leases all items that it can get and answers each with its own body.
+// run leases all available items, answers each with its own body and returns their
+// number.
 func run(ctx context.Context, session *keeperclient.Session) int {
 	count := 0
 	for {
@@ -136,7 +137,7 @@
 
 var _ = Describe("Jobs", func() {
 	It("run from upload to results that stay readable after a restart", func(ctx context.Context) {
-		b := newBench(0, 0)
+		b := newFixture(0, 0)
 		id := b.submit(ctx, spec("bulletin"), 3)
 		Expect(run(ctx, b.client.NewSession(job.Run{VM: "vm-a"}))).To(Equal(30))
 		b.restart()
@@ -157,11 +158,11 @@
 		Expect(seen).To(HaveLen(30))
 	}, NodeTimeout(20*time.Second))
 
-	// A gate is lost with leased items; an editor sees the job stand still until
-	// the session of the gate ends, then another gate runs the items again. The
-	// lost gate turns out to be alive and reports late: each item has one result.
+	// A gate that holds leased items is lost. The items are leased to another gate
+	// when the lost gate's session expires. The lost gate is in fact alive and
+	// reports results later; each item must still have exactly one result.
 	It("leases the items of a lost gate again and takes one result each", func(ctx context.Context) {
-		b := newBench(300*time.Millisecond, 0)
+		b := newFixture(300*time.Millisecond, 0)
 		id := b.submit(ctx, spec("lost-gate"), 1)
 		lost := b.client.NewSession(job.Run{VM: "vm-lost"})
 		held, err := lost.Lease(ctx, []job.Want{{Queue: queue, Max: 4}}, 0)
@@ -181,12 +182,12 @@
 		Eventually(dropped).WithTimeout(10 * time.Second).Should(BeNumerically(">=", 1))
 	}, NodeTimeout(20*time.Second))
 
-	// A gate's process is killed and is back at once. Its items must not wait for
-	// the lifetime of the session that it had: the new run opens one of its own,
-	// and the VM has no other process.
+	// A gate's process is killed and restarts at once. Its items must be available
+	// before its old session expires, because the new run on the same VM replaces
+	// the old one.
 	It("leases the items of a gate again as soon as it has started anew", func(ctx context.Context) {
-		const lifetime = time.Minute // far beyond the test's own time
-		b := newBench(lifetime, 0)
+		const sessionTTL = time.Minute // much longer than the test
+		b := newFixture(sessionTTL, 0)
 		b.submit(ctx, spec("gate-restarts"), 1)
 		killed := b.client.NewSession(job.Run{VM: "vm-a", Started: 1})
 		held, err := killed.Lease(ctx, []job.Want{{Queue: queue, Max: 100}}, 0)
@@ -198,10 +199,10 @@
 		Expect(again).To(HaveLen(10))
 	}, NodeTimeout(20*time.Second))
 
-	// A clerk cancels a job while gates run its items. The gates learn it with
-	// their next heartbeat; results that come later are not kept.
+	// A job is cancelled while a gate runs its items. The next heartbeat returns the
+	// cancelled job to the gate, and later results are dropped.
 	It("stop when cancelled", func(ctx context.Context) {
-		b := newBench(0, 0)
+		b := newFixture(0, 0)
 		id := b.submit(ctx, spec("cancel"), 1)
 		session := b.client.NewSession(job.Run{VM: "vm-a"})
 		held, err := session.Lease(ctx, []job.Want{{Queue: queue, Max: 4}}, 0)
@@ -219,10 +220,11 @@
 })
 
 var _ = Describe("Claims", func() {
-	// A plate confirmation is sent twice through two gates. The first gate is
-	// lost while it runs it: the second must neither run it nor invent an answer.
+	// A non-idempotent request is sent through two gates, and the first one is lost
+	// while it runs the request. The second gate must neither run it nor report an
+	// outcome that is not known.
 	It("let no second gate run a request whose first gate is lost", func(ctx context.Context) {
-		b := newBench(300*time.Millisecond, 0)
+		b := newFixture(300*time.Millisecond, 0)
 		first, second := b.client.NewSession(job.Run{VM: "vm-a"}), b.client.NewSession(job.Run{VM: "vm-b"})
 		granted, err := first.Claim(ctx, "registry", "plate-1", 7, "attempt-1")
 		Expect(err).NotTo(HaveOccurred())
@@ -258,7 +260,7 @@
 
 var _ = Describe("Configuration", func() {
 	It("is in force once each live gate has it, and names the one that lacks it", func(ctx context.Context) {
-		b := newBench(0, 3*time.Second)
+		b := newFixture(0, 3*time.Second)
 		parsed, err := team.ParseTemplate("", []byte(template))
 		Expect(err).NotTo(HaveOccurred())
 		outcome, err := b.client.ApplyChange(ctx, team.Change{ID: "c1", Operator: "ann", PutTemplate: &parsed})
@@ -270,14 +272,15 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(progress.InForce).To(BeFalse())
 		Expect(progress.Waiting).To(Equal([]string{"vm-slow"}))
-		// The slow gate stays silent: its lease runs out, and with it the wait.
+		// The slow gate never acknowledges the revision. The wait ends when its lease
+		// expires.
 		progress, err = b.client.ChangeStatus(ctx, outcome.Revision, 10*time.Second)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(progress.InForce).To(BeTrue())
 	}, NodeTimeout(20*time.Second))
 
 	It("reaches a watching gate, which then knows the team's token", func(ctx context.Context) {
-		b := newBench(0, 0)
+		b := newFixture(0, 0)
 		watcher := keeperclient.NewWatcher(b.client, "vm-a", zap.NewNop())
 		running, cancel := context.WithCancel(ctx)
 		defer cancel()
--- a/internal/keeper/watch_measure_test.go
+++ b/internal/keeper/watch_measure_test.go
@@ -19,9 +19,9 @@
 	"slateway.example/slateway/internal/team"
 )
 
-// BenchmarkWatchers measures what GATES gates that hold configuration leases
-// cost, with 3 keepers and the gates in one process: processor time, bytes on
-// the gates' connections, and how long a change takes until it is in force.
+// BenchmarkWatchers measures the cost of GATES gates that hold configuration leases,
+// with 3 keepers and the gates in one process: CPU time, bytes on the gates'
+// connections, and the time until a change is in force.
 func BenchmarkWatchers(b *testing.B) {
 	const observed = 5 * time.Second
 	for b.Loop() {
@@ -69,7 +69,7 @@
 	}
 }
 
-// cpuIn gives the processor time that this process uses in d.
+// cpuIn returns the CPU time that this process uses within d.
 func cpuIn(d time.Duration) time.Duration {
 	before := cpu()
 	time.Sleep(d)
@@ -84,7 +84,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// countingClient makes a client that counts the bytes on its connections.
+// countingClient creates a client that counts the bytes on its connections.
 func countingClient(cluster *keepertest.Cluster, bytes *atomic.Int64) *keeperclient.Client {
 	dialer := &net.Dialer{}
 	transport := &http.Transport{DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -103,14 +103,14 @@
 	bytes *atomic.Int64
 }
 
-// Read counts what arrives.
+// Read counts the received bytes.
 func (c *countingConn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// Write counts what is sent.
+// Write counts the sent bytes.
 func (c *countingConn) Write(data []byte) (int, error) {
 	n, err := c.Conn.Write(data)
 	c.bytes.Add(int64(n))
