--- a/internal/keeper/keeperclient/tenure.go
+++ b/internal/keeper/keeperclient/tenure.go
@@ -14,7 +14,7 @@
 	return call(ctx, c, keeperapi.ConfigGroup, 0, keeperapi.AcquireTenure, request)
 }
 
-// ReleaseTenure releases a tenure, so that another holder can acquire it at once.
+// LeaveTenure releases a tenure, so that another holder can acquire it at once.
 func (c *Client) LeaveTenure(ctx context.Context, name, holder string) error {
 	request := &keeperapi.TenureRequest{Name: name, Holder: holder, Leaving: true}
 	_, err := call(ctx, c, keeperapi.ConfigGroup, 0, keeperapi.AcquireTenure, request)
--- a/internal/keeper/service_test.go
+++ b/internal/keeper/service_test.go
@@ -161,7 +161,7 @@
 	// A gate that holds leased items is lost. The items are leased to another gate
 	// when the lost gate's session expires. The lost gate is in fact alive and
 	// reports results later; each item must still have exactly one result.
-	It("leases the items of a lost gate again and takes one result each", func(ctx context.Context) {
+	It("lease the items of a lost gate to another one and have one result each", func(ctx context.Context) {
 		b := newFixture(300*time.Millisecond, 0)
 		id := b.submit(ctx, spec("lost-gate"), 1)
 		lost := b.client.NewSession(job.Run{VM: "vm-lost"})
@@ -185,7 +185,7 @@
 	// A gate's process is killed and restarts at once. Its items must be available
 	// before its old session expires, because the new run on the same VM replaces
 	// the old one.
-	It("leases the items of a gate again as soon as it has started anew", func(ctx context.Context) {
+	It("lease the items of a restarted gate again at once", func(ctx context.Context) {
 		const sessionTTL = time.Minute // much longer than the test
 		b := newFixture(sessionTTL, 0)
 		b.submit(ctx, spec("gate-restarts"), 1)
@@ -223,7 +223,7 @@
 	// A non-idempotent request is sent through two gates, and the first one is lost
 	// while it runs the request. The second gate must neither run it nor report an
 	// outcome that is not known.
-	It("let no second gate run a request whose first gate is lost", func(ctx context.Context) {
+	It("prevent a second gate from running a request whose first gate is lost", func(ctx context.Context) {
 		b := newFixture(300*time.Millisecond, 0)
 		first, second := b.client.NewSession(job.Run{VM: "vm-a"}), b.client.NewSession(job.Run{VM: "vm-b"})
 		granted, err := first.Claim(ctx, "registry", "plate-1", 7, "attempt-1")
@@ -259,7 +259,7 @@
 `
 
 var _ = Describe("Configuration", func() {
-	It("is in force once each live gate has it, and names the one that lacks it", func(ctx context.Context) {
+	It("is in force once each live gate has acknowledged it, and lists the gates that have not", func(ctx context.Context) {
 		b := newFixture(0, 3*time.Second)
 		parsed, err := team.ParseTemplate("", []byte(template))
 		Expect(err).NotTo(HaveOccurred())
@@ -279,7 +279,7 @@
 		Expect(progress.InForce).To(BeTrue())
 	}, NodeTimeout(20*time.Second))
 
-	It("reaches a watching gate, which then knows the team's token", func(ctx context.Context) {
+	It("reaches a watching gate, which then authenticates the team's token", func(ctx context.Context) {
 		b := newFixture(0, 0)
 		watcher := keeperclient.NewWatcher(b.client, "vm-a", zap.NewNop())
 		running, cancel := context.WithCancel(ctx)
