--- a/internal/keeper/command.go
+++ b/internal/keeper/command.go
@@ -57,12 +57,12 @@
 	Started int64         `cbor:"3,keyasint,omitempty"` // start of the gate's process, Unix milliseconds
 }
 
-func (o *openSession) run() job.Run { return job.Run{VM: o.VM, Started: o.Started} }
+func (o *openSession) run() job.GateRun { return job.GateRun{VM: o.VM, Started: o.Started} }
 
 type leaseItems struct {
-	Session job.SessionID `cbor:"1,keyasint"`
-	Request uint64        `cbor:"2,keyasint"`
-	Wants   []job.Want    `cbor:"3,keyasint"`
+	Session job.SessionID     `cbor:"1,keyasint"`
+	Request uint64            `cbor:"2,keyasint"`
+	Wants   []job.QueueDemand `cbor:"3,keyasint"`
 }
 
 type completeItems struct {
--- a/internal/keeper/configmachine.go
+++ b/internal/keeper/configmachine.go
@@ -95,7 +95,7 @@
 // setMatcher indexes a copy of the routes in force, because readers may keep the
 // matcher beyond the next change. The caller holds the mutex.
 func (m *ConfigMachine) setMatcher() {
-	document := *m.routes.Held()
+	document := *m.routes.Current()
 	m.matcher = routes.NewMatcher(&document)
 }
 
@@ -224,5 +224,5 @@
 func (m *ConfigMachine) fullCopy() team.Update {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return m.registry.Full()
+	return m.registry.FullUpdate()
 }
--- a/internal/keeper/files.go
+++ b/internal/keeper/files.go
@@ -107,7 +107,7 @@
 
 func unusedSegments(log *blob.Log, kind fileKind, inUse func(fileKind, uint32) bool) []uint32 {
 	var unused []uint32
-	for _, segment := range log.Segments() {
+	for _, segment := range log.FullSegments() {
 		if !inUse(kind, segment) {
 			unused = append(unused, segment)
 		}
--- a/internal/keeper/files_test.go
+++ b/internal/keeper/files_test.go
@@ -41,7 +41,7 @@
 
 func (m *JobMachine) body(t *testing.T, id job.ID) string {
 	t.Helper()
-	located, err := m.jobs.Locate(id, 0, 1)
+	located, err := m.jobs.ListByItem(id, 0, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/keeper/fuzz_test.go
+++ b/internal/keeper/fuzz_test.go
@@ -21,7 +21,7 @@
 		{At: 2, AddPart: &addPart{Job: id, Count: 2, Data: codec.MustMarshal([]job.Item{{CustomID: "a"}})}},
 		{At: 3, Seal: &sealJob{Job: id, Parts: 1}},
 		{At: 4, OpenSession: &openSession{Session: session}},
-		{At: 5, Lease: &leaseItems{Session: session, Request: 1, Wants: []job.Want{{Max: 2}}}},
+		{At: 5, Lease: &leaseItems{Session: session, Request: 1, Wants: []job.QueueDemand{{Max: 2}}}},
 		{At: 6, Complete: &completeItems{Session: session, Results: []job.Result{{Job: id, Attempt: 1, Outcome: job.OutcomeRetry}}}},
 		{At: 7, Claim: &claim.Request{Team: "t", Key: "k", ID: "c", Session: session}},
 		{At: 8, FinishClaim: &claim.Finish{Team: "t", Key: "k", ID: "c", NotRun: true}},
--- a/internal/keeper/history_test.go
+++ b/internal/keeper/history_test.go
@@ -135,7 +135,7 @@
 		switch kind {
 		case "complete":
 			result := job.Result{Job: id, Attempt: 1, Outcome: job.OutcomeSucceeded, Body: []byte(value)}
-			err = u.client.NewSession(job.Run{VM: "vm-" + value}).Complete(ctx, []job.Result{result})
+			err = u.client.NewSession(job.GateRun{VM: "vm-" + value}).Complete(ctx, []job.Result{result})
 		case "cancel":
 			_, err = u.client.CancelJob(ctx, id)
 		default:
@@ -235,7 +235,7 @@
 	for number := range 6 {
 		u := newUser(cluster, number, seed)
 		users.Go(func() {
-			session := u.client.NewSession(job.Run{VM: fmt.Sprint("vm-", number)})
+			session := u.client.NewSession(job.GateRun{VM: fmt.Sprint("vm-", number)})
 			for range 60 {
 				u.editTeam(teams)
 				u.useJob(jobs, ids)
--- a/internal/keeper/jobcalls.go
+++ b/internal/keeper/jobcalls.go
@@ -106,9 +106,9 @@
 	if err != nil {
 		return nil, err
 	}
-	var located job.Located
+	var located job.ItemListing
 	machine.read(func(jobs *job.Table, _ *claim.Table) {
-		located, err = jobs.Locate(request.Job, request.From, min(request.Limit, maxResults))
+		located, err = jobs.ListByItem(request.Job, request.From, min(request.Limit, maxResults))
 	})
 	if err != nil {
 		return nil, err
@@ -118,7 +118,7 @@
 
 // readResults reads located results. If they are too large for one response, it
 // returns the first of them and the item to continue from.
-func (m *JobMachine) readResults(located job.Located) (*keeperapi.ResultsResponse, error) {
+func (m *JobMachine) readResults(located job.ItemListing) (*keeperapi.ResultsResponse, error) {
 	response := &keeperapi.ResultsResponse{Next: located.Next, End: located.End}
 	size := 0
 	for _, ref := range located.Refs {
@@ -175,7 +175,7 @@
 	if err := machine.checkSession(request.Session); err != nil {
 		return nil, err
 	}
-	machine.read(func(jobs *job.Table, _ *claim.Table) { response.Ended = jobs.EndedAmong(request.Running) })
+	machine.read(func(jobs *job.Table, _ *claim.Table) { response.Ended = jobs.FilterEnded(request.Running) })
 	s.recordContact(request.Group, request.Session, time.Now())
 	return response, nil
 }
@@ -242,9 +242,9 @@
 }
 
 // capWants limits the wanted items to maxLeasedItems in total.
-func capWants(wants []job.Want) []job.Want {
+func capWants(wants []job.QueueDemand) []job.QueueDemand {
 	left := maxLeasedItems
-	bounded := make([]job.Want, 0, len(wants))
+	bounded := make([]job.QueueDemand, 0, len(wants))
 	for _, want := range wants {
 		want.Max = max(0, min(want.Max, left))
 		left -= want.Max
@@ -256,11 +256,11 @@
 // alreadyLeased reports whether the request has leased items before. A resend gets
 // the same items, even when no others are left.
 func (m *JobMachine) alreadyLeased(request *keeperapi.LeaseRequest) (taken bool) {
-	m.read(func(jobs *job.Table, _ *claim.Table) { taken = jobs.Taken(request.Session, request.Request) })
+	m.read(func(jobs *job.Table, _ *claim.Table) { taken = jobs.RequestFulfilled(request.Session, request.Request) })
 	return taken
 }
 
-func (s *Service) proposeLease(ctx context.Context, machine *JobMachine, request *keeperapi.LeaseRequest, wants []job.Want) (*keeperapi.LeaseResponse, error) {
+func (s *Service) proposeLease(ctx context.Context, machine *JobMachine, request *keeperapi.LeaseRequest, wants []job.QueueDemand) (*keeperapi.LeaseResponse, error) {
 	answer, err := s.propose(ctx, request.Group, command{Lease: &leaseItems{Session: request.Session, Request: request.Request, Wants: wants}})
 	if err != nil {
 		return nil, err
--- a/internal/keeper/jobmachine.go
+++ b/internal/keeper/jobmachine.go
@@ -75,7 +75,7 @@
 	case cmd.Cancel != "":
 		return statusResult(m.jobs.Cancel(cmd.Cancel, now))
 	case cmd.OpenSession != nil:
-		m.endSessions(m.jobs.Replaced(cmd.OpenSession.run()), now)
+		m.endSessions(m.jobs.ReplacedSessions(cmd.OpenSession.run()), now)
 		m.jobs.OpenSession(cmd.OpenSession.Session, cmd.OpenSession.run())
 	case cmd.EndSessions != nil:
 		m.endSessions(cmd.EndSessions, now)
@@ -191,8 +191,8 @@
 }
 
 // replacedSessions returns the sessions of earlier runs of a gate's process.
-func (m *JobMachine) replacedSessions(run job.Run) (replaced []job.SessionID) {
-	m.read(func(jobs *job.Table, _ *claim.Table) { replaced = jobs.Replaced(run) })
+func (m *JobMachine) replacedSessions(run job.GateRun) (replaced []job.SessionID) {
+	m.read(func(jobs *job.Table, _ *claim.Table) { replaced = jobs.ReplacedSessions(run) })
 	return replaced
 }
 
@@ -211,7 +211,7 @@
 }
 
 // hasWork reports whether an item can be leased for one of the wants.
-func (m *JobMachine) hasWork(wants []job.Want) (found bool) {
+func (m *JobMachine) hasWork(wants []job.QueueDemand) (found bool) {
 	m.read(func(jobs *job.Table, _ *claim.Table) { found = jobs.HasWork(wants) })
 	return found
 }
--- a/internal/keeper/keeperapi/api.go
+++ b/internal/keeper/keeperapi/api.go
@@ -296,7 +296,7 @@
 // wants.
 type AwaitWorkRequest struct {
 	Group uint32
-	Wants []job.Want
+	Wants []job.QueueDemand
 	Wait  time.Duration
 	// Session is the session of the caller, empty if no lease request will follow.
 	Session job.SessionID
@@ -309,10 +309,10 @@
 
 // LeaseRequest leases items of one group. A resend carries the same Request.
 type LeaseRequest struct {
-	Group   uint32        `cbor:"1,keyasint"`
-	Session job.SessionID `cbor:"2,keyasint"`
-	Request uint64        `cbor:"3,keyasint"` // sequence number from 1, incremented after each response with Taken
-	Wants   []job.Want    `cbor:"4,keyasint"`
+	Group   uint32            `cbor:"1,keyasint"`
+	Session job.SessionID     `cbor:"2,keyasint"`
+	Request uint64            `cbor:"3,keyasint"` // sequence number from 1, incremented after each response with Taken
+	Wants   []job.QueueDemand `cbor:"4,keyasint"`
 }
 
 // LeaseResponse returns the leased items, none if none are available.
--- a/internal/keeper/keeperclient/lease.go
+++ b/internal/keeper/keeperclient/lease.go
@@ -12,7 +12,7 @@
 
 // Lease leases items to run, up to the wanted counts. It waits up to wait for the
 // first ones and returns none if none become available.
-func (s *Session) Lease(ctx context.Context, wants []job.Want, wait time.Duration) ([]keeperapi.LeasedItem, error) {
+func (s *Session) Lease(ctx context.Context, wants []job.QueueDemand, wait time.Duration) ([]keeperapi.LeasedItem, error) {
 	groups, err := s.client.Groups(ctx)
 	if err != nil {
 		return nil, err
@@ -28,8 +28,8 @@
 }
 
 // leaseFromGroups leases from one group after the other until the wants are met.
-func (s *Session) leaseFromGroups(ctx context.Context, groups uint32, wants []job.Want) ([]keeperapi.LeasedItem, error) {
-	left := append([]job.Want(nil), wants...)
+func (s *Session) leaseFromGroups(ctx context.Context, groups uint32, wants []job.QueueDemand) ([]keeperapi.LeasedItem, error) {
+	left := append([]job.QueueDemand(nil), wants...)
 	var items []keeperapi.LeasedItem
 	start := s.nextStart()
 	for i := range groups - 1 {
@@ -58,8 +58,8 @@
 }
 
 // remainingWants returns the wants minus the leased items.
-func remainingWants(wants []job.Want, found []keeperapi.LeasedItem) []job.Want {
-	var left []job.Want
+func remainingWants(wants []job.QueueDemand, found []keeperapi.LeasedItem) []job.QueueDemand {
+	var left []job.QueueDemand
 	for _, want := range wants {
 		for _, item := range found {
 			if item.Lease.Queue == want.Queue {
@@ -73,7 +73,7 @@
 	return left
 }
 
-func (s *Session) leaseFrom(ctx context.Context, group uint32, wants []job.Want) ([]keeperapi.LeasedItem, error) {
+func (s *Session) leaseFrom(ctx context.Context, group uint32, wants []job.QueueDemand) ([]keeperapi.LeasedItem, error) {
 	in := s.group(group)
 	in.leaseMu.Lock()
 	defer in.leaseMu.Unlock()
@@ -114,7 +114,7 @@
 
 // awaitItem reports whether a group has an item available within wait. The next
 // lease starts with that group.
-func (s *Session) awaitItem(ctx context.Context, groups uint32, wants []job.Want, wait time.Duration) bool {
+func (s *Session) awaitItem(ctx context.Context, groups uint32, wants []job.QueueDemand, wait time.Duration) bool {
 	// The keepers end the wait themselves. Cancelling at the same moment would close
 	// the connection and count as an unknown outcome, so the timeout here is longer.
 	ctx, cancel := context.WithTimeout(ctx, wait+attemptTimeout)
--- a/internal/keeper/keeperclient/session.go
+++ b/internal/keeper/keeperclient/session.go
@@ -21,7 +21,7 @@
 // It is safe for concurrent use.
 type Session struct {
 	client *Client
-	run    job.Run
+	run    job.GateRun
 	id     string
 
 	mu         sync.Mutex
@@ -41,7 +41,7 @@
 
 // NewSession creates the session of one run of a gate's process. When it opens, it
 // ends the sessions of earlier runs on the same VM.
-func (c *Client) NewSession(run job.Run) *Session {
+func (c *Client) NewSession(run job.GateRun) *Session {
 	return &Session{client: c, run: run, id: run.VM + "/" + uuid.NewString(), groups: make(map[uint32]*groupSession)}
 }
 
--- a/internal/keeper/measure_test.go
+++ b/internal/keeper/measure_test.go
@@ -110,7 +110,7 @@
 	var done atomic.Int64
 	var gates errgroup.Group
 	for n := range measuredGates {
-		session := client.NewSession(job.Run{VM: fmt.Sprint("vm-gate-", n)})
+		session := client.NewSession(job.GateRun{VM: fmt.Sprint("vm-gate-", n)})
 		gates.Go(func() error { return gate(session, &done, int64(items)) })
 	}
 	if err := gates.Wait(); err != nil {
@@ -123,7 +123,7 @@
 func gate(session *keeperclient.Session, done *atomic.Int64, items int64) error {
 	ctx := context.Background()
 	for done.Load() < items {
-		leased, err := session.Lease(ctx, []job.Want{{Queue: queue, Max: 32}}, 100*time.Millisecond)
+		leased, err := session.Lease(ctx, []job.QueueDemand{{Queue: queue, Max: 32}}, 100*time.Millisecond)
 		if err != nil {
 			return err
 		}
@@ -187,7 +187,7 @@
 // adds before it is sent, and that of reporting its outcome, through 3 keepers.
 func BenchmarkClaim(b *testing.B) {
 	client := keepertest.StartCluster(b, 3, measuredGroups, nil).Client()
-	session := client.NewSession(job.Run{VM: "vm-gate"})
+	session := client.NewSession(job.GateRun{VM: "vm-gate"})
 	ctx := context.Background()
 	var claiming, reporting time.Duration
 	n := 0
--- a/internal/keeper/offers.go
+++ b/internal/keeper/offers.go
@@ -30,7 +30,7 @@
 type offers struct {
 	mu      sync.Mutex
 	open    map[offerKey]offer
-	waiting map[offerKey][]job.Want
+	waiting map[offerKey][]job.QueueDemand
 }
 
 type offerKey struct {
@@ -40,19 +40,19 @@
 
 type offer struct {
 	expires time.Time
-	items   []job.Want // number offered, by queue
+	items   []job.QueueDemand // number offered, by queue
 }
 
 // readyItems returns the number of items of a queue that can be leased, up to limit.
 type readyItems func(queue job.Queue, limit int) int
 
 func newOffers() *offers {
-	return &offers{open: make(map[offerKey]offer), waiting: make(map[offerKey][]job.Want)}
+	return &offers{open: make(map[offerKey]offer), waiting: make(map[offerKey][]job.QueueDemand)}
 }
 
 // addWaiter records that a session waits for items until done is called. It drops an
 // open offer of the session: a gate that waits again did not get or want the items.
-func (o *offers) addWaiter(group uint32, session job.SessionID, wants []job.Want) (done func()) {
+func (o *offers) addWaiter(group uint32, session job.SessionID, wants []job.QueueDemand) (done func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	key := offerKey{group, session}
@@ -68,15 +68,15 @@
 // makeOffer reports whether there is an item for the waiting session that is not
 // offered to another one and that no less loaded session waits for. If so, it
 // offers the session its share.
-func (o *offers) makeOffer(group uint32, session job.SessionID, wants []job.Want, ready readyItems, now time.Time) bool {
+func (o *offers) makeOffer(group uint32, session job.SessionID, wants []job.QueueDemand, ready readyItems, now time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.expire(now)
 	key := offerKey{group, session}
-	var items []job.Want
+	var items []job.QueueDemand
 	for _, want := range wants {
 		if share := o.fairShare(key, want, ready); share > 0 {
-			items = append(items, job.Want{Queue: want.Queue, Max: share})
+			items = append(items, job.QueueDemand{Queue: want.Queue, Max: share})
 		}
 	}
 	if len(items) == 0 {
@@ -89,13 +89,13 @@
 
 // limitWants limits the wants of a lease request to the session's offer or, without
 // an offer, to its share of the items that are not offered to others.
-func (o *offers) limitWants(group uint32, session job.SessionID, wants []job.Want, ready readyItems, now time.Time) []job.Want {
+func (o *offers) limitWants(group uint32, session job.SessionID, wants []job.QueueDemand, ready readyItems, now time.Time) []job.QueueDemand {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.expire(now)
 	key := offerKey{group, session}
 	offered, hasOffer := o.open[key]
-	bounded := make([]job.Want, 0, len(wants))
+	bounded := make([]job.QueueDemand, 0, len(wants))
 	for _, want := range wants {
 		if hasOffer {
 			want.Max = min(want.Max, countOffered(offered.items, want.Queue))
@@ -109,7 +109,7 @@
 
 // fairShare returns the number of items of the queue that the session may lease,
 // given the other sessions that wait for them.
-func (o *offers) fairShare(key offerKey, want job.Want, ready readyItems) int {
+func (o *offers) fairShare(key offerKey, want job.QueueDemand, ready readyItems) int {
 	offered := o.offeredIn(key.group, want.Queue)
 	others, lessLoaded := o.competitors(key, want)
 	free := ready(want.Queue, offered+want.Max*(others+1)) - offered
@@ -121,7 +121,7 @@
 
 // competitors returns the number of other sessions that wait for items of the queue,
 // and how many of them are less loaded.
-func (o *offers) competitors(key offerKey, want job.Want) (others, lessLoaded int) {
+func (o *offers) competitors(key offerKey, want job.QueueDemand) (others, lessLoaded int) {
 	for other, wants := range o.waiting {
 		if other.group != key.group || other.session == key.session {
 			continue
@@ -141,7 +141,7 @@
 
 // isLessLoaded orders waiting sessions by the fraction of their capacity in use, and
 // by name if that is equal.
-func isLessLoaded(a job.Want, sessionA job.SessionID, b job.Want, sessionB job.SessionID) bool {
+func isLessLoaded(a job.QueueDemand, sessionA job.SessionID, b job.QueueDemand, sessionB job.SessionID) bool {
 	filledA, filledB := a.Held*(b.Held+b.Max), b.Held*(a.Held+a.Max)
 	if filledA != filledB {
 		return filledA < filledB
@@ -149,7 +149,7 @@
 	return sessionA < sessionB
 }
 
-func countOffered(items []job.Want, queue job.Queue) int {
+func countOffered(items []job.QueueDemand, queue job.Queue) int {
 	count := 0
 	for _, item := range items {
 		if item.Queue == queue {
--- a/internal/keeper/offers_test.go
+++ b/internal/keeper/offers_test.go
@@ -18,15 +18,15 @@
 
 func (s *stock) ready(_ job.Queue, limit int) int { return min(int(*s), limit) }
 
-func wantOf(most, held int) []job.Want {
-	return []job.Want{{Queue: wordroom, Max: most, Held: held}}
+func wantOf(most, held int) []job.QueueDemand {
+	return []job.QueueDemand{{Queue: wordroom, Max: most, Held: held}}
 }
 
 func gateSession(i int) job.SessionID { return job.SessionID(fmt.Sprintf("gate-%03d", i)) }
 
 // leaseAll makes all gates wait, lets each one that gets an offer lease its items,
 // and returns the number of items that each gate leased.
-func leaseAll(o *offers, s *stock, gates int, wants func(i int) []job.Want, now time.Time) []int {
+func leaseAll(o *offers, s *stock, gates int, wants func(i int) []job.QueueDemand, now time.Time) []int {
 	got := make([]int, gates)
 	for i := range gates {
 		o.addWaiter(1, gateSession(i), wants(i))
@@ -52,7 +52,7 @@
 	held := make([]int, gates)
 	for round := range 60 {
 		s = 10
-		got := leaseAll(o, &s, gates, func(i int) []job.Want { return wantOf(9-held[i], held[i]) }, offersStart.Add(time.Duration(round)*time.Second))
+		got := leaseAll(o, &s, gates, func(i int) []job.QueueDemand { return wantOf(9-held[i], held[i]) }, offersStart.Add(time.Duration(round)*time.Second))
 		for i, count := range got {
 			held[i] += count
 		}
@@ -71,7 +71,7 @@
 // slots.
 func TestAllIsHandedOutWhenThereIsMoreThanRoom(t *testing.T) {
 	o, s := newOffers(), stock(100)
-	got := leaseAll(o, &s, 3, func(int) []job.Want { return wantOf(8, 0) }, offersStart)
+	got := leaseAll(o, &s, 3, func(int) []job.QueueDemand { return wantOf(8, 0) }, offersStart)
 	for i, count := range got {
 		if count != 8 {
 			t.Errorf("gate %d got %d of 8", i, count)
--- a/internal/keeper/service_test.go
+++ b/internal/keeper/service_test.go
@@ -106,7 +106,7 @@
 func run(ctx context.Context, session *keeperclient.Session) int {
 	count := 0
 	for {
-		leased, err := session.Lease(ctx, []job.Want{{Queue: queue, Max: 7}}, 0)
+		leased, err := session.Lease(ctx, []job.QueueDemand{{Queue: queue, Max: 7}}, 0)
 		Expect(err).NotTo(HaveOccurred())
 		if len(leased) == 0 {
 			return count
@@ -139,7 +139,7 @@
 	It("run from upload to results that stay readable after a restart", func(ctx context.Context) {
 		b := newFixture(0, 0)
 		id := b.submit(ctx, spec("bulletin"), 3)
-		Expect(run(ctx, b.client.NewSession(job.Run{VM: "vm-a"}))).To(Equal(30))
+		Expect(run(ctx, b.client.NewSession(job.GateRun{VM: "vm-a"}))).To(Equal(30))
 		b.restart()
 		status, err := b.client.JobStatus(ctx, id)
 		Expect(err).NotTo(HaveOccurred())
@@ -164,11 +164,11 @@
 	It("lease the items of a lost gate to another one and have one result each", func(ctx context.Context) {
 		b := newFixture(300*time.Millisecond, 0)
 		id := b.submit(ctx, spec("lost-gate"), 1)
-		lost := b.client.NewSession(job.Run{VM: "vm-lost"})
-		held, err := lost.Lease(ctx, []job.Want{{Queue: queue, Max: 4}}, 0)
+		lost := b.client.NewSession(job.GateRun{VM: "vm-lost"})
+		held, err := lost.Lease(ctx, []job.QueueDemand{{Queue: queue, Max: 4}}, 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(held).To(HaveLen(4))
-		other := b.client.NewSession(job.Run{VM: "vm-other"})
+		other := b.client.NewSession(job.GateRun{VM: "vm-other"})
 		status := func() job.Status {
 			run(ctx, other)
 			status, err := b.client.JobStatus(ctx, id)
@@ -189,12 +189,12 @@
 		const sessionTTL = time.Minute // much longer than the test
 		b := newFixture(sessionTTL, 0)
 		b.submit(ctx, spec("gate-restarts"), 1)
-		killed := b.client.NewSession(job.Run{VM: "vm-a", Started: 1})
-		held, err := killed.Lease(ctx, []job.Want{{Queue: queue, Max: 100}}, 0)
+		killed := b.client.NewSession(job.GateRun{VM: "vm-a", Started: 1})
+		held, err := killed.Lease(ctx, []job.QueueDemand{{Queue: queue, Max: 100}}, 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(held).To(HaveLen(10))
-		restarted := b.client.NewSession(job.Run{VM: "vm-a", Started: 2})
-		again, err := restarted.Lease(ctx, []job.Want{{Queue: queue, Max: 100}}, 0)
+		restarted := b.client.NewSession(job.GateRun{VM: "vm-a", Started: 2})
+		again, err := restarted.Lease(ctx, []job.QueueDemand{{Queue: queue, Max: 100}}, 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(again).To(HaveLen(10))
 	}, NodeTimeout(20*time.Second))
@@ -204,8 +204,8 @@
 	It("stop when cancelled", func(ctx context.Context) {
 		b := newFixture(0, 0)
 		id := b.submit(ctx, spec("cancel"), 1)
-		session := b.client.NewSession(job.Run{VM: "vm-a"})
-		held, err := session.Lease(ctx, []job.Want{{Queue: queue, Max: 4}}, 0)
+		session := b.client.NewSession(job.GateRun{VM: "vm-a"})
+		held, err := session.Lease(ctx, []job.QueueDemand{{Queue: queue, Max: 4}}, 0)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = b.client.CancelJob(ctx, id)
 		Expect(err).NotTo(HaveOccurred())
@@ -225,7 +225,7 @@
 	// outcome that is not known.
 	It("prevent a second gate from running a request whose first gate is lost", func(ctx context.Context) {
 		b := newFixture(300*time.Millisecond, 0)
-		first, second := b.client.NewSession(job.Run{VM: "vm-a"}), b.client.NewSession(job.Run{VM: "vm-b"})
+		first, second := b.client.NewSession(job.GateRun{VM: "vm-a"}), b.client.NewSession(job.GateRun{VM: "vm-b"})
 		granted, err := first.Claim(ctx, "registry", "plate-1", 7, "attempt-1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(granted.State).To(Equal(claim.StateGranted))
--- a/internal/keeper/submitcalls.go
+++ b/internal/keeper/submitcalls.go
@@ -63,9 +63,9 @@
 	defer timer.Stop()
 	for {
 		changed := machine.changed.wait()
-		var listing job.Listing
+		var listing job.CompletionListing
 		machine.read(func(jobs *job.Table, _ *claim.Table) {
-			listing, err = jobs.ListFrom(request.Job, request.Position, maxResults)
+			listing, err = jobs.ListByCompletion(request.Job, request.Position, maxResults)
 		})
 		if err != nil {
 			return nil, err
@@ -85,7 +85,7 @@
 
 // readListing reads listed results, at least one if there is any and otherwise up
 // to MaxBytes.
-func (m *JobMachine) readListing(listing job.Listing, request *keeperapi.ListResultsRequest) (*keeperapi.ListResultsResponse, error) {
+func (m *JobMachine) readListing(listing job.CompletionListing, request *keeperapi.ListResultsRequest) (*keeperapi.ListResultsResponse, error) {
 	response := &keeperapi.ListResultsResponse{Items: listing.Items, Next: request.Position}
 	size := 0
 	for _, ref := range listing.Refs {
@@ -116,7 +116,7 @@
 	}
 	var refs []job.Ref
 	var refusal *apierr.Error
-	machine.read(func(jobs *job.Table, _ *claim.Table) { refs, refusal = jobs.Bodies(request.Job) })
+	machine.read(func(jobs *job.Table, _ *claim.Table) { refs, refusal = jobs.PartRefs(request.Job) })
 	if refusal != nil {
 		return nil, refusal
 	}
