--- a/internal/keeper/keepertest/cluster.go
+++ b/internal/keeper/keepertest/cluster.go
@@ -19,45 +19,45 @@
 	"slateway.example/slateway/internal/rpc"
 )
 
-// Cluster is a set of keepers in one process that talk over loopback and sync to
-// folders of the test.
+// Cluster is a set of keepers in one process that communicate over loopback and
+// store their state in temporary folders of the test.
 type Cluster struct {
 	Keepers []*Keeper
 
-	tb     testing.TB
-	groups uint32
-	voters []replica.Voter
-	set    func(*replica.Config, *keeper.Options)
+	tb        testing.TB
+	groups    uint32
+	voters    []replica.Voter
+	configure func(*replica.Config, *keeper.Options)
 }
 
-// Keeper is one of them.
+// Keeper is a keeper of a Cluster.
 type Keeper struct {
 	VM      string
 	Address string
 	Host    *replica.Host
 
-	folder string
-	server *http.Server
-	cancel context.CancelFunc
-	cut    atomic.Int32 // a Cut
+	folder    string
+	server    *http.Server
+	cancel    context.CancelFunc
+	isolation atomic.Int32 // an Isolation
 }
 
-// Cut says whose calls hang at a keeper, without an error, as they do at a
-// frozen process or a dropped route.
-type Cut int32
+// Isolation selects the callers whose calls to a keeper hang without an error, as
+// with a frozen process or a network that drops packets.
+type Isolation int32
 
-// Cuts.
+// Values of Isolation.
 const (
-	CutNothing Cut = iota
-	CutPeers       // calls to and from the other keepers; gates and operators still reach it
-	CutAll
+	NotIsolated       Isolation = iota
+	IsolatedFromPeers           // calls to and from the other keepers; gates and operators still reach it
+	IsolatedFromAll
 )
 
-// StartCluster starts count keepers; set, which may be nil, adjusts the settings
-// of each. They stop with the test.
-func StartCluster(tb testing.TB, count int, groups uint32, set func(*replica.Config, *keeper.Options)) *Cluster {
+// StartCluster starts count keepers, which stop at the end of the test. configure,
+// which may be nil, adjusts the settings of each.
+func StartCluster(tb testing.TB, count int, groups uint32, configure func(*replica.Config, *keeper.Options)) *Cluster {
 	tb.Helper()
-	c := &Cluster{tb: tb, groups: groups, set: set}
+	c := &Cluster{tb: tb, groups: groups, configure: configure}
 	var listeners []net.Listener
 	for i := range count {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -95,8 +95,8 @@
 			return options.Jobs[group-1], nil
 		},
 	}
-	if c.set != nil {
-		c.set(&config, &options)
+	if c.configure != nil {
+		c.configure(&config, &options)
 	}
 	host, err := replica.Open(config)
 	if err != nil {
@@ -117,14 +117,14 @@
 	return nil
 }
 
-// guard passes requests on, or hangs those that are cut off.
+// guard forwards requests and hangs those from which the keeper is isolated.
 func (k *Keeper) guard(peers, calls *http.ServeMux) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		handler, cutFrom := calls, CutAll
+		handler, isolation := calls, IsolatedFromAll
 		if _, pattern := peers.Handler(r); pattern != "" {
-			handler, cutFrom = peers, CutPeers
+			handler, isolation = peers, IsolatedFromPeers
 		}
-		if k.isCut(cutFrom) {
+		if k.isIsolated(isolation) {
 			<-r.Context().Done()
 			return
 		}
@@ -132,32 +132,32 @@
 	})
 }
 
-func (k *Keeper) isCut(from Cut) bool { return Cut(k.cut.Load()) >= from }
+func (k *Keeper) isIsolated(from Isolation) bool { return Isolation(k.isolation.Load()) >= from }
 
-// RoundTrip sends a call to another keeper, or hangs it.
+// RoundTrip sends a call to another keeper, or hangs it if the keeper is isolated.
 func (k *Keeper) RoundTrip(r *http.Request) (*http.Response, error) {
-	if k.isCut(CutPeers) {
+	if k.isIsolated(IsolatedFromPeers) {
 		<-r.Context().Done()
 		return nil, r.Context().Err()
 	}
 	return http.DefaultTransport.RoundTrip(r)
 }
 
-// SetCut cuts the keeper off, or heals it.
-func (k *Keeper) SetCut(cut Cut) { k.cut.Store(int32(cut)) }
+// SetIsolation isolates the keeper from its callers, or reconnects it.
+func (k *Keeper) SetIsolation(isolation Isolation) { k.isolation.Store(int32(isolation)) }
 
-// Stop ends the keeper.
+// Stop stops the keeper.
 func (k *Keeper) Stop() {
 	k.cancel()
 	_ = k.server.Close()
 	k.Host.Stop()
 }
 
-// Restart starts a stopped keeper on its folder.
+// Restart starts a stopped keeper from its folder.
 func (c *Cluster) Restart(k *Keeper) {
 	c.tb.Helper()
-	const patience = 10 * time.Second
-	for deadline := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+	const timeout = 10 * time.Second
+	for deadline := time.Now().Add(timeout); ; time.Sleep(5 * time.Millisecond) {
 		listener, err := net.Listen("tcp", k.Address)
 		if err == nil {
 			err = c.open(k, listener)
@@ -171,51 +171,51 @@
 	}
 }
 
-// Client makes a client with connections of its own.
+// Client creates a client with its own connections.
 func (c *Cluster) Client() *keeperclient.Client { return c.LossyClient(func() bool { return false }) }
 
-// LossyClient makes a client that loses the answer of a call, after the keeper
-// has given it, whenever lose says so.
+// LossyClient creates a client that loses the response of a call whenever lose
+// returns true. The keeper has executed the call then.
 func (c *Cluster) LossyClient(lose func() bool) *keeperclient.Client {
-	const connections = 256 // to each keeper; the default of 2 would close most after use
+	const connections = 256 // to each keeper; with the default of 2, most would be closed after use
 	transport := &http.Transport{MaxIdleConnsPerHost: connections}
 	c.tb.Cleanup(transport.CloseIdleConnections)
 	var addresses []string
 	for _, k := range c.Keepers {
 		addresses = append(addresses, k.Address)
 	}
-	return keeperclient.New(rpc.NewClient(&http.Client{Transport: &lossy{transport: transport, lose: lose}}), addresses)
+	return keeperclient.New(rpc.NewClient(&http.Client{Transport: &lossyTransport{transport: transport, lose: lose}}), addresses)
 }
 
-// lossy sends calls and may lose their answers.
-type lossy struct {
+// lossyTransport is a transport that may lose responses.
+type lossyTransport struct {
 	transport http.RoundTripper
 	lose      func() bool
 }
 
-var errAnswerLost = errors.New("connection reset")
+var errResponseLost = errors.New("connection reset")
 
-// RoundTrip sends a call.
-func (l *lossy) RoundTrip(r *http.Request) (*http.Response, error) {
+// RoundTrip sends a call and may lose its response.
+func (l *lossyTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	response, err := l.transport.RoundTrip(r)
 	if err == nil && l.lose() {
 		_ = response.Body.Close()
-		return nil, errAnswerLost
+		return nil, errResponseLost
 	}
 	return response, err
 }
 
-// Leader waits for the keeper that leads a group.
+// Leader waits until a keeper leads the group, and returns it.
 func (c *Cluster) Leader(group uint32) *Keeper {
 	c.tb.Helper()
-	const patience = 30 * time.Second
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+	const timeout = 30 * time.Second
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		for _, k := range c.Keepers {
 			if k.Host.Status()[group].Leads {
 				return k
 			}
 		}
 	}
-	c.tb.Fatalf("group %d has no leader", group)
+	c.tb.Fatalf("group %d elected no leader in time", group)
 	return nil
 }
