--- a/internal/daemon/sitecontrol.go
+++ b/internal/daemon/sitecontrol.go
@@ -74,8 +74,8 @@
 	}
 	keepers := keeperclient.NewDynamic(site.calls, func() []string { return c.addresses(s.SeedPeers()) })
 	keepers.CountRetries(site.metrics)
-	keepers.SetPatience(sitePatience)
-	keepers.SetHint(made.leaderAddress)
+	keepers.SetFirstAttemptTimeout(sitePatience)
+	keepers.SetLeaderHint(made.leaderAddress)
 	c.service = control.New(control.Options{
 		VM: s.VM.Name, Place: s.VM.Place, Region: s.VM.Region,
 		Address: s.Listen.Peers, Control: s.Listen.Control, Folder: s.VM.DataFolder, Seeds: s.SeedPeers(),
--- a/internal/daemon/sitegate.go
+++ b/internal/daemon/sitegate.go
@@ -114,7 +114,7 @@
 	g.exchange.Attach(g.router)
 	keepers := keeperclient.NewDynamic(site.calls, g.follower.Keepers)
 	keepers.CountRetries(site.metrics)
-	keepers.SetPatience(sitePatience)
+	keepers.SetFirstAttemptTimeout(sitePatience)
 	held, err := credit.New(credit.Options{
 		VM: s.VM.Name, Listen: s.Listen.Peers, Fleet: g.follower, Metrics: site.metrics, Log: site.log.Logger,
 		Tolerance: limit.Tolerance{Window: s.Limits.TeamWindow, Overshoot: s.Limits.TeamOvershoot, Slack: s.Limits.TeamSlack},
--- a/internal/keeper/files_test.go
+++ b/internal/keeper/files_test.go
@@ -68,7 +68,7 @@
 //
 // If files are deleted at once and not at the next snapshot, this test fails with "no
 // such file or a short one".
-func TestExpiredFilesOutliveTheSnapshotThatNamesThem(t *testing.T) {
+func TestExpiredFilesOutliveTheSnapshotThatRefersToThem(t *testing.T) {
 	folder := t.TempDir()
 	fail := func(err error) { t.Fatal(err) }
 	a := &applier{machine: newJobMachine(folder, 1, fail)} // one record per segment
--- a/internal/keeper/keeperclient/client.go
+++ b/internal/keeper/keeperclient/client.go
@@ -63,12 +63,12 @@
 
 // SetFirstAttemptTimeout limits the first attempt of each call, for clients whose
 // own callers wait for the result. It must be called before the first call.
-func (c *Client) SetPatience(timeout time.Duration) { c.firstTimeout = timeout }
+func (c *Client) SetFirstAttemptTimeout(timeout time.Duration) { c.firstTimeout = timeout }
 
 // SetLeaderHint sets a function that returns the address of a group's leader, empty
 // if it is not known. A VM that is a member of the group learns of a new leader
 // earlier than by the answer to a call. It must be called before the first call.
-func (c *Client) SetHint(hint func(group uint32) string) { c.hint = hint }
+func (c *Client) SetLeaderHint(hint func(group uint32) string) { c.hint = hint }
 
 // CountRetries makes the client count its retries by reason. It must be called
 // before the first call.
--- a/internal/keeper/keeperclient/client_test.go
+++ b/internal/keeper/keeperclient/client_test.go
@@ -51,13 +51,13 @@
 // Guards against a call that retries a frozen leader with ever longer timeouts. A
 // configuration change then took more than four seconds, although a new leader had
 // been elected after half a second.
-func TestAFrozenLeaderIsNotAskedTwice(t *testing.T) {
+func TestFrozenLeaderIsNotCalledTwice(t *testing.T) {
 	stopped, healthy := frozen(t), answering(t)
 	const timeout = 300 * time.Millisecond
 	for name, hint := range map[string]string{"next address": "", "leader hint": healthy} {
 		client := New(rpc.NewClient(&http.Client{}), []string{stopped, healthy})
-		client.SetPatience(timeout)
-		client.SetHint(func(uint32) string { return hint })
+		client.SetFirstAttemptTimeout(timeout)
+		client.SetLeaderHint(func(uint32) string { return hint })
 		client.setLeader(keeperapi.ConfigGroup, stopped)
 		began := time.Now()
 		document, err := client.ReadRoutes(t.Context())
@@ -74,7 +74,7 @@
 // gates leased items at the same time, the leader exceeded the timeout of the first
 // attempt. Each gate then called only the other keepers, which all redirected it to the
 // leader, and the job made no progress for ten seconds.
-func TestALeaderThatWasSlowOnceIsAskedAgain(t *testing.T) {
+func TestSlowLeaderIsCalledAgain(t *testing.T) {
 	const timeout = 100 * time.Millisecond
 	var calls, redirects atomic.Int64
 	slow := serving(t, func(ctx context.Context) *keeperapi.Reply[keeperapi.ReadRoutesResponse] {
@@ -88,7 +88,7 @@
 		return &keeperapi.Reply[keeperapi.ReadRoutesResponse]{NotLeader: &keeperapi.NotLeader{Address: slow}}
 	})
 	client := New(rpc.NewClient(&http.Client{}), []string{slow, other})
-	client.SetPatience(timeout)
+	client.SetFirstAttemptTimeout(timeout)
 	client.setLeader(keeperapi.ConfigGroup, slow)
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
--- a/internal/keeper/offers_test.go
+++ b/internal/keeper/offers_test.go
@@ -46,7 +46,7 @@
 
 // Guards against one gate leasing all items of a job while the engines of other gates
 // are idle.
-func TestItemsAreSharedAmongTheWaitingGates(t *testing.T) {
+func TestItemsAreDistributedAmongWaitingGates(t *testing.T) {
 	const gates = 130
 	o, s := newOffers(), stock(0)
 	held := make([]int, gates)
@@ -69,7 +69,7 @@
 
 // Guards against items being withheld from gates when there are more items than free
 // slots.
-func TestAllIsHandedOutWhenThereIsMoreThanRoom(t *testing.T) {
+func TestAllSlotsAreUsedWhenItemsExceedThem(t *testing.T) {
 	o, s := newOffers(), stock(100)
 	got := leaseAll(o, &s, 3, func(int) []job.QueueDemand { return wantOf(8, 0) }, offersStart)
 	for i, count := range got {
@@ -84,7 +84,7 @@
 
 // Guards against items staying reserved for a gate that got an offer and never leases
 // them.
-func TestItemsOfAGateThatDoesNotComeGoToTheNext(t *testing.T) {
+func TestItemsOfAnExpiredOfferGoToTheNextGate(t *testing.T) {
 	o, s := newOffers(), stock(1)
 	o.addWaiter(1, "frozen", wantOf(9, 0))
 	o.addWaiter(1, "other", wantOf(4, 5))
