--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -30,9 +30,9 @@
 }
 
 func benchmarkPropose(b *testing.B, members, callers int, each bool) {
-	c := start(b, members, members, func(config *Config) { config.SyncEach = each })
+	c := startCluster(b, members, members, func(config *Config) { config.SyncEach = each })
 	leader := c.leader().host
-	c.change("first")
+	c.propose("first")
 	var mu sync.Mutex
 	histogram := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	var next atomic.Int64
@@ -64,12 +64,12 @@
 func BenchmarkLeaderLoss(b *testing.B) {
 	for range b.N {
 		b.StopTimer()
-		c := start(b, 3, 3, nil)
-		c.change("first")
+		c := startCluster(b, 3, 3, nil)
+		c.propose("first")
 		lost := c.leader()
 		b.StartTimer()
 		lost.kill()
-		c.change("second")
+		c.propose("second")
 	}
 }
 
@@ -82,20 +82,20 @@
 }
 
 func benchmarkRestart(b *testing.B, changes int) {
-	c := start(b, 1, 1, nil)
+	c := startCluster(b, 1, 1, nil)
 	v := c.vms[0]
-	c.change("first")
+	c.propose("first")
 	var wait sync.WaitGroup
 	for worker := range 100 {
 		wait.Go(func() {
 			for i := range changes / 100 {
-				c.change(fmt.Sprintf("%0*d", proposalSize, worker*changes+i))
+				c.propose(fmt.Sprintf("%0*d", proposalSize, worker*changes+i))
 			}
 		})
 	}
 	wait.Wait()
 	for i := range 3 { // the commit index rides along with the next write
-		c.change(fmt.Sprint("last-", i))
+		c.propose(fmt.Sprint("last-", i))
 	}
 	snapshotBytes := v.host.Status()[0].SnapshotBytes
 	var logBytes int64
@@ -122,16 +122,16 @@
 func BenchmarkIdle(b *testing.B) {
 	for _, groups := range []uint32{1, 4, 16} {
 		b.Run(fmt.Sprintf("groups=%d", groups), func(b *testing.B) {
-			c := start(b, 3, 3, func(config *Config) { config.Groups = groups })
-			c.change("first")
+			c := startCluster(b, 3, 3, func(config *Config) { config.Groups = groups })
+			c.propose("first")
 			time.Sleep(time.Second)
-			bytes, used := c.bytes(), processorTime()
+			bytes, used := c.bytes(), cpuTime()
 			b.ResetTimer()
 			for range b.N {
 				time.Sleep(time.Second)
 			}
 			b.ReportMetric(float64(c.bytes()-bytes)/b.Elapsed().Seconds()/3, "B/s/member")
-			b.ReportMetric((processorTime()-used).Seconds()/b.Elapsed().Seconds()/3*100, "%core/member")
+			b.ReportMetric((cpuTime()-used).Seconds()/b.Elapsed().Seconds()/3*100, "%core/member")
 		})
 	}
 }
@@ -139,12 +139,12 @@
 func (c *cluster) bytes() int64 {
 	sum := int64(0)
 	for _, v := range c.vms {
-		sum += v.silent.bytes.Load()
+		sum += v.network.bytes.Load()
 	}
 	return sum
 }
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		panic(err)
--- a/internal/replica/bootstrap.go
+++ b/internal/replica/bootstrap.go
@@ -22,9 +22,9 @@
 	minHelloInterval = 300 * time.Millisecond
 	maxHelloInterval = 2 * time.Second
 	helloTimeout     = time.Second
-	// seedRounds is how many rounds lie between two in which a blank member that
+	// seedRoundInterval is how many rounds lie between two in which a blank member that
 	// knows leaders asks its seeds as well.
-	seedRounds = 4
+	seedRoundInterval = 4
 )
 
 // helloRequest introduces a member that is in no group yet.
@@ -74,8 +74,8 @@
 	return &h.initial.Membership
 }
 
-func (h *Host) anyEmpty() bool {
-	return slices.ContainsFunc(h.groups, (*group).empty)
+func (h *Host) anyLogEmpty() bool {
+	return slices.ContainsFunc(h.groups, (*group).logEmpty)
 }
 
 func (h *Host) hasGroups() bool {
@@ -88,21 +88,21 @@
 // Known gives the members of all groups, this one included, and the blank
 // members that wait to be taken in, by address, as far as this VM knows them.
 func (h *Host) Known() []quorum.Member {
-	return byAddress(append(h.Members(), h.freshCandidates()...))
+	return uniqueByAddress(append(h.Members(), h.recentCandidates()...))
 }
 
 // Members gives the members of all groups and this VM, by address, as far as this
 // VM knows them.
 func (h *Host) Members() []quorum.Member {
-	members := []quorum.Member{h.member()}
+	members := []quorum.Member{h.selfMember()}
 	for id := range h.Groups() {
 		members = append(members, h.membersOf(id)...)
 	}
-	return byAddress(members)
+	return uniqueByAddress(members)
 }
 
-// byAddress sorts members, each address once.
-func byAddress(members []quorum.Member) []quorum.Member {
+// uniqueByAddress sorts members, each address once.
+func uniqueByAddress(members []quorum.Member) []quorum.Member {
 	slices.SortFunc(members, func(a, b quorum.Member) int { return cmp.Compare(a.Address, b.Address) })
 	return slices.CompactFunc(members, func(a, b quorum.Member) bool { return a.Address == b.Address })
 }
@@ -149,7 +149,7 @@
 	return names
 }
 
-func (h *Host) member() quorum.Member {
+func (h *Host) selfMember() quorum.Member {
 	return quorum.Member{ID: h.self.ID, VM: h.self.VM, Address: h.self.Address, Class: h.config.Class}
 }
 
@@ -158,11 +158,11 @@
 		return nil, err
 	}
 	if request.Blank {
-		h.noteCandidate(request.Member)
+		h.recordCandidate(request.Member)
 	}
-	leads, term := h.groups[0].leadsIn()
+	leads, term := h.groups[0].leadership()
 	return &helloResponse{
-		Member: h.member(), HasGroups: h.hasGroups(), Initial: h.initialMembership(),
+		Member: h.selfMember(), HasGroups: h.hasGroups(), Initial: h.initialMembership(),
 		Current: h.currentMembership(), Voters: h.voterNames(), Leads: leads, Term: term, Contacts: h.contacts(),
 	}, nil
 }
@@ -176,10 +176,10 @@
 func (h *Host) runJoin() {
 	interval := minHelloInterval
 	var contacts []string
-	for round := 0; h.anyEmpty(); round++ {
-		answers := h.helloAll(h.toGreet(round, contacts))
+	for round := 0; h.anyLogEmpty(); round++ {
+		answers := h.helloAll(h.helloTargets(round, contacts))
 		initial, ok := h.decideInitial(answers)
-		if ok && (named(answers) || !h.hasGroups()) {
+		if ok && (anyInitial(answers) || !h.hasGroups()) {
 			if err := h.adoptInitial(initial); err != nil {
 				h.fail(err)
 				return
@@ -187,7 +187,7 @@
 			break
 		}
 		contacts = contactsOf(answers, h.self.Address)
-		if !h.founds() {
+		if !h.mayBootstrap() {
 			interval = min(interval*3/2, maxHelloInterval)
 		}
 		select {
@@ -199,26 +199,26 @@
 	h.logger.Info("member of the groups", zap.Stringer("id", h.self.ID))
 }
 
-// named says whether an answer holds the membership that the groups began with.
+// anyInitial says whether an answer holds the membership that the groups began with.
 // decideInitial lets a member take it over only if it is among them.
-func named(answers []helloResponse) bool {
+func anyInitial(answers []helloResponse) bool {
 	return slices.ContainsFunc(answers, func(answer helloResponse) bool { return answer.Initial != nil })
 }
 
-// founds says whether this VM is one of those that begin the groups together.
-func (h *Host) founds() bool {
+// mayBootstrap says whether this VM is one of those that begin the groups together.
+func (h *Host) mayBootstrap() bool {
 	if len(h.config.Seeds) == 0 {
 		return slices.ContainsFunc(h.config.Voters, func(v Voter) bool { return v.VM == h.config.VM })
 	}
 	return h.config.Found && slices.Contains(h.config.Seeds, h.self.Address)
 }
 
-// toGreet gives the addresses to introduce this member to. A founder needs the
+// helloTargets gives the addresses to introduce this member to. A founder needs the
 // answers of all others; anyone else, once it knows them, only who takes it in:
 // dozens of spares that greet all members and each other would keep the VMs that
 // settings name from founding the groups.
-func (h *Host) toGreet(round int, contacts []string) []string {
-	if len(contacts) > 0 && !h.founds() && round%seedRounds != 0 {
+func (h *Host) helloTargets(round int, contacts []string) []string {
+	if len(contacts) > 0 && !h.mayBootstrap() && round%seedRoundInterval != 0 {
 		return contacts
 	}
 	h.mu.Lock()
@@ -243,7 +243,7 @@
 // among the answers that are not among these, and gives the answers.
 func (h *Host) helloAll(addresses []string) []helloResponse {
 	results := make(chan *helloResponse, len(addresses))
-	request := helloRequest{Member: h.member(), Blank: true}
+	request := helloRequest{Member: h.selfMember(), Blank: true}
 	for _, address := range addresses {
 		go func() { results <- h.hello(address, request) }()
 	}
@@ -271,7 +271,7 @@
 	return answer
 }
 
-// decideInitial says with which membership a blank member begins, if it may.
+// decideInitialFromVoters says with which membership a blank member begins, if it may.
 //
 // One member only, the first of the settings' list by name, chooses it, and
 // only when every other one has answered and none holds a group. So a disk that
@@ -280,7 +280,7 @@
 // others take over the choice, which they find by asking, if it names them by
 // their disk; a disk that was replaced after the choice is not named, and joins
 // as a replacement.
-func decideInitial(self quorum.Member, voters []Voter, answers []helloResponse) (quorum.Membership, bool) {
+func decideInitialFromVoters(self quorum.Member, voters []Voter, answers []helloResponse) (quorum.Membership, bool) {
 	members := []quorum.Member{self}
 	names := make([]string, len(voters))
 	for i, voter := range voters {
@@ -308,12 +308,12 @@
 
 func (h *Host) decideInitial(answers []helloResponse) (quorum.Membership, bool) {
 	if len(h.config.Seeds) > 0 {
-		return decideFounding(h.member(), h.config.Seeds, h.config.Found, answers)
+		return decideInitialFromSeeds(h.selfMember(), h.config.Seeds, h.config.Found, answers)
 	}
-	return decideInitial(h.member(), h.config.Voters, answers)
+	return decideInitialFromVoters(h.selfMember(), h.config.Voters, answers)
 }
 
-// decideFounding says with which membership a blank member begins that knows
+// decideInitialFromSeeds says with which membership a blank member begins that knows
 // seeds only, if it may.
 //
 // The VM at the lowest of the seeds' addresses chooses, once, when those at all
@@ -321,7 +321,7 @@
 // if it names their disks. A VM that starts later, or comes back with a blank
 // disk, is not told to found: if it could, its group would stand beside the one
 // that the others hold, and both would acknowledge changes.
-func decideFounding(self quorum.Member, seeds []string, found bool, answers []helloResponse) (quorum.Membership, bool) {
+func decideInitialFromSeeds(self quorum.Member, seeds []string, found bool, answers []helloResponse) (quorum.Membership, bool) {
 	members := map[string]quorum.Member{self.Address: self}
 	for _, answer := range answers {
 		if answer.Initial != nil {
@@ -371,6 +371,6 @@
 		return
 	}
 	g.applied = quorum.BootstrapIndex
-	g.status.snapshotIndex = quorum.BootstrapIndex
+	g.counters.snapshotIndex = quorum.BootstrapIndex
 	g.flush()
 }
--- a/internal/replica/bootstrap_test.go
+++ b/internal/replica/bootstrap_test.go
@@ -43,7 +43,7 @@
 		"a member that joined later holds the group": {member("a", 9), []helloResponse{joined, blank("c", 3)}, false},
 		"a spare never begins":                       {member("x", 5), []helloResponse{blank("a", 1), blank("b", 2), blank("c", 3)}, false},
 	} {
-		got, may := decideInitial(tc.self, voters, tc.answers)
+		got, may := decideInitialFromVoters(tc.self, voters, tc.answers)
 		if may != tc.may {
 			t.Errorf("%s: %t", name, may)
 		}
@@ -79,7 +79,7 @@
 		"a member that joined later holds the group":   {member("1", 9), true, []helloResponse{joined, blank("3", 3)}, false},
 		"a VM that is no seed never begins":            {member("4", 4), true, []helloResponse{blank("1", 1), blank("2", 2), blank("3", 3)}, false},
 	} {
-		got, may := decideFounding(tc.self, seeds, tc.found, tc.answers)
+		got, may := decideInitialFromSeeds(tc.self, seeds, tc.found, tc.answers)
 		if may != tc.may {
 			t.Errorf("%s: %t", name, may)
 		}
@@ -133,7 +133,7 @@
 		"any class when one more loss is too much": {append(three[:2:2], store(voter("d", 4, 60)), store(voter("e", 5, 60)), store(voter("f", 6, 1))), []quorum.Member{blank("g", 7)}, 5, quorum.AddLearner, 7, ""},
 		"the lost VM leaves after it":              {append(three[:2:2], voter("c", 3, 60), voter("d", 4, 0)), nil, 3, quorum.Remove, 3, ""},
 	} {
-		change, ok := nextChange(repairView{members: tc.members, candidates: tc.candidates, target: tc.target, lostTicks: 50, preferred: "store", self: 1, retiring: []string{tc.retiring}, least: 3})
+		change, ok := nextChange(repairView{members: tc.members, candidates: tc.candidates, target: tc.target, lostTicks: 50, preferredClass: "store", self: 1, retiring: []string{tc.retiring}, minVoters: 3})
 		if ok != (tc.kind != 0) || change.Kind != tc.kind || change.Member.ID != tc.id {
 			t.Errorf("%s: %v %+v", name, ok, change)
 		}
@@ -162,7 +162,7 @@
 		"a store that leads stays":   {[]quorum.MemberStatus{control, store}, 2, quorum.None},
 		"without any store it stays": {[]quorum.MemberStatus{control}, 1, quorum.None},
 	} {
-		got, _ := repairView{members: tc.members, preferred: "store", self: tc.self}.betterLeader()
+		got, _ := repairView{members: tc.members, preferredClass: "store", self: tc.self}.preferredLeader()
 		if got != tc.want {
 			t.Errorf("%s: %v", name, got)
 		}
@@ -176,7 +176,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := &vm{name: "c", address: listener.Addr().String(), folder: t.TempDir(), silent: newSilence()}
+	v := &vm{name: "c", address: listener.Addr().String(), folder: t.TempDir(), network: newFaultyNetwork()}
 	var chosen atomic.Bool
 	mux := http.NewServeMux()
 	founder := quorum.Member{ID: 1, VM: "a"}
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -84,91 +84,91 @@
 	host                  *Host
 	server                *http.Server
 	machines              []*ledger
-	silent                *silence
+	network               *faultyNetwork
 }
 
-// silence makes a VM's calls, in and out, hang without an error, or only the
+// faultyNetwork makes a VM's calls, in and out, hang without an error, or only the
 // connections that it has opened.
-type silence struct {
+type faultyNetwork struct {
 	transport http.Transport
 	bytes     atomic.Int64 // sent and received on connections opened here
 
-	mu    sync.Mutex
-	on    bool
-	conns []*silentConn
+	mu      sync.Mutex
+	hanging bool
+	conns   []*blackholeConn
 }
 
-// silentConn is a connection that something between its ends can lose track
+// blackholeConn is a connection that something between its ends can lose track
 // of: writes vanish and reads wait until it is closed.
-type silentConn struct {
+type blackholeConn struct {
 	net.Conn
-	lost   atomic.Bool
-	bytes  *atomic.Int64 // of all connections that the VM has opened
-	closed chan struct{}
-	once   sync.Once
+	blackholed atomic.Bool
+	bytes      *atomic.Int64 // of all connections that the VM has opened
+	closed     chan struct{}
+	once       sync.Once
 }
 
-func (c *silentConn) Read(data []byte) (int, error) {
+func (c *blackholeConn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	c.bytes.Add(int64(n))
-	if c.lost.Load() {
+	if c.blackholed.Load() {
 		<-c.closed
 		return 0, net.ErrClosed
 	}
 	return n, err
 }
 
-func (c *silentConn) Write(data []byte) (int, error) {
-	if c.lost.Load() {
+func (c *blackholeConn) Write(data []byte) (int, error) {
+	if c.blackholed.Load() {
 		return len(data), nil
 	}
 	c.bytes.Add(int64(len(data)))
 	return c.Conn.Write(data)
 }
 
-func (c *silentConn) Close() error {
+func (c *blackholeConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
-func (s *silence) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (s *faultyNetwork) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	tracked := &silentConn{Conn: conn, bytes: &s.bytes, closed: make(chan struct{})}
+	tracked := &blackholeConn{Conn: conn, bytes: &s.bytes, closed: make(chan struct{})}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns = append(s.conns, tracked)
 	return tracked, nil
 }
 
-// loseConnections makes the connections that are open now go silent for good.
-func (s *silence) loseConnections() {
+// blackholeConnections makes the connections that are open now go silent for good.
+func (s *faultyNetwork) blackholeConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, conn := range s.conns {
-		conn.lost.Store(true)
+		conn.blackholed.Store(true)
 	}
 	s.conns = nil
 }
 
-func newSilence() *silence {
-	s := &silence{}
+func newFaultyNetwork() *faultyNetwork {
+	s := &faultyNetwork{}
 	s.transport.DialContext = s.dial
 	return s
 }
 
-func (s *silence) set(on bool) {
+func (s *faultyNetwork) setHanging(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.on = on
+	s.hanging = on
 }
 
-func (s *silence) hang(ctx context.Context) bool {
+func (s *faultyNetwork) hangIfSet(ctx context.Context) bool {
 	s.mu.Lock()
-	on := s.on
+	on := s.hanging
 	s.mu.Unlock()
 	if on {
 		<-ctx.Done()
@@ -176,25 +176,25 @@
 	return on
 }
 
-func (s *silence) CloseIdleConnections() { s.transport.CloseIdleConnections() }
+func (s *faultyNetwork) CloseIdleConnections() { s.transport.CloseIdleConnections() }
 
-func (s *silence) RoundTrip(r *http.Request) (*http.Response, error) {
-	if s.hang(r.Context()) {
+func (s *faultyNetwork) RoundTrip(r *http.Request) (*http.Response, error) {
+	if s.hangIfSet(r.Context()) {
 		return nil, r.Context().Err()
 	}
 	return s.transport.RoundTrip(r)
 }
 
 type cluster struct {
-	t   testing.TB
-	vms []*vm
-	set func(*Config)
+	t         testing.TB
+	vms       []*vm
+	configure func(*Config)
 }
 
-// start begins count VMs, of which the first voters are initial members.
-func start(t testing.TB, count, voters int, set func(*Config)) *cluster {
+// startCluster begins count VMs, of which the first voters are initial members.
+func startCluster(t testing.TB, count, voters int, set func(*Config)) *cluster {
 	t.Helper()
-	c := &cluster{t: t, set: set}
+	c := &cluster{t: t, configure: set}
 	var list []Voter
 	listeners := make([]net.Listener, count)
 	for i := range count {
@@ -203,7 +203,7 @@
 			t.Fatal(err)
 		}
 		listeners[i] = listener
-		c.vms = append(c.vms, &vm{name: fmt.Sprintf("vm-%d", i), address: listener.Addr().String(), folder: t.TempDir(), silent: newSilence()})
+		c.vms = append(c.vms, &vm{name: fmt.Sprintf("vm-%d", i), address: listener.Addr().String(), folder: t.TempDir(), network: newFaultyNetwork()})
 		if i < voters {
 			list = append(list, Voter{VM: c.vms[i].name, Address: c.vms[i].address})
 		}
@@ -236,10 +236,10 @@
 			v.machines = append(v.machines, m)
 			return m, nil
 		},
-		Client: &http.Client{Transport: v.silent},
+		Client: &http.Client{Transport: v.network},
 	}
-	if c.set != nil {
-		c.set(&config)
+	if c.configure != nil {
+		c.configure(&config)
 	}
 	host, err := Open(config)
 	if err != nil {
@@ -250,7 +250,7 @@
 	host.Mount(mux)
 	v.host = host
 	v.server = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !v.silent.hang(r.Context()) {
+		if !v.network.hangIfSet(r.Context()) {
 			mux.ServeHTTP(w, r)
 		}
 	})}
@@ -264,7 +264,7 @@
 func (v *vm) kill() {
 	_ = v.server.Close()
 	v.host.shutdown()
-	v.silent.transport.CloseIdleConnections()
+	v.network.transport.CloseIdleConnections()
 }
 
 func (c *cluster) restart(v *vm) {
@@ -278,16 +278,16 @@
 	c.open(v, listener)
 }
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 func (c *cluster) eventually(what string, condition func() bool) {
 	c.t.Helper()
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		if condition() {
 			return
 		}
 	}
-	c.t.Fatalf("not within %v: %s", patience, what)
+	c.t.Fatalf("not within %v: %s", testTimeout, what)
 }
 
 // leader waits for a VM that leads group 0, other than those given.
@@ -310,8 +310,8 @@
 	return found
 }
 
-// viewOf gives the leader's view of a member of group 0.
-func (c *cluster) viewOf(v *vm) MemberStatus {
+// memberStatus gives the leader's view of a member of group 0.
+func (c *cluster) memberStatus(v *vm) MemberStatus {
 	for _, m := range c.leader().host.Status()[0].Members {
 		if m.VM == v.name {
 			return m
@@ -333,23 +333,23 @@
 	return 0
 }
 
-// change proposes data at whichever VM leads, until it is acknowledged. After
-// an unknown outcome it asks the next leader whether the change was made.
-func (c *cluster) change(data string) {
+// propose proposes data at whichever VM leads, until it is acknowledged. After
+// an unknown outcome it asks the next leader whether the propose was made.
+func (c *cluster) propose(data string) {
 	c.t.Helper()
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); {
-		err := c.tryChange(c.leader(), data)
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); {
+		err := c.tryPropose(c.leader(), data)
 		var unknown *OutcomeUnknownError
-		if err == nil || errors.As(err, &unknown) && c.wasMade(data) {
+		if err == nil || errors.As(err, &unknown) && c.wasApplied(data) {
 			return
 		}
 	}
 	c.t.Error("no leader took the change")
 }
 
-// wasMade looks at the state of a leader after a barrier: an entry that is not
+// wasApplied looks at the state of a leader after a barrier: an entry that is not
 // there by then can never be committed.
-func (c *cluster) wasMade(data string) bool {
+func (c *cluster) wasApplied(data string) bool {
 	made := false
 	c.eventually("a read barrier", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -362,15 +362,15 @@
 	return made
 }
 
-func (c *cluster) tryChange(v *vm, data string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (c *cluster) tryPropose(v *vm, data string) error {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	_, err := v.host.Propose(ctx, 0, []byte(data))
 	return err
 }
 
-// expect waits until data is applied exactly once on v.
-func (c *cluster) expect(v *vm, data string) {
+// expectApplied waits until data is applied exactly once on v.
+func (c *cluster) expectApplied(v *vm, data string) {
 	c.t.Helper()
 	c.eventually(fmt.Sprintf("%s on %s", data, v.name), func() bool { return v.machines[0].times(data) > 0 })
 	if times := v.machines[0].times(data); times != 1 {
--- a/internal/replica/config.go
+++ b/internal/replica/config.go
@@ -157,7 +157,7 @@
 	return nil
 }
 
-func (c Config) preferred(group uint32) string {
+func (c Config) preferredClass(group uint32) string {
 	if c.Preferred == nil {
 		return ""
 	}
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -25,25 +25,25 @@
 	machine Machine
 	wake    chan struct{}
 
-	mu        sync.Mutex
-	node      *quorum.Node
-	applied   uint64
-	proposals map[uint64]*proposal // by index
-	reads     map[uint64]*read     // by ID
-	nextRead  uint64
-	leads     bool      // as last counted
-	lostLead  int       // ticks since leadership was lost with proposals waiting
-	syncSince time.Time // start of the sync that is running
-	request   *replacement
-	status    groupCounters
-	sending   map[quorum.ID]uint64 // index of the snapshot that is on its way to a member
+	mu                   sync.Mutex
+	node                 *quorum.Node
+	applied              uint64
+	proposals            map[uint64]*proposal // by index
+	reads                map[uint64]*read     // by ID
+	lastReadID           uint64
+	wasLeader            bool      // as last counted
+	ticksSinceLeadership int       // ticks since leadership was lost with proposals waiting
+	syncSince            time.Time // start of the sync that is running
+	pendingReplacement   *replacement
+	counters             groupCounters
+	sending              map[quorum.ID]uint64 // index of the snapshot that is on its way to a member
 
 	staging staging
 
 	// Of the goroutine of run only.
-	sinceSnapshot uint64 // entries applied since the last snapshot
-	bytesSince    int64
-	installed     storedSnapshot // newest snapshot
+	entriesSinceSnapshot uint64 // entries applied since the last snapshot
+	bytesSinceSnapshot   int64
+	lastSnapshot         storedSnapshot // newest snapshot
 }
 
 // groupCounters are figures for Status.
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := held.cutFiles(stored.Files); err != nil {
+	if err := held.truncateFiles(stored.Files); err != nil {
 		return nil, err
 	}
 	machine, err := h.config.NewMachine(id, held.path(filesFolder))
@@ -73,7 +73,7 @@
 		return nil, fmt.Errorf("restore group %d: %w", id, err)
 	}
 	return &group{
-		host: h, id: id, store: held, machine: machine, installed: stored,
+		host: h, id: id, store: held, machine: machine, lastSnapshot: stored,
 		wake:      make(chan struct{}, 1),
 		proposals: map[uint64]*proposal{},
 		reads:     map[uint64]*read{},
@@ -82,21 +82,21 @@
 	}, nil
 }
 
-// begin makes the decision from what the disk holds.
-func (g *group) begin(found *recovered) error {
-	meta := g.installed.Meta
+// startNode makes the decision from what the disk holds.
+func (g *group) startNode(found *recoveredLog) error {
+	meta := g.lastSnapshot.Meta
 	if meta.Index == 0 && g.host.initial != nil {
 		meta = quorum.Bootstrap(g.host.initial.Membership)
 	}
 	node, err := quorum.New(g.nodeConfig(), quorum.Restored{
-		HardState: found.state, Snapshot: meta, Entries: found.after(meta),
+		HardState: found.state, Snapshot: meta, Entries: found.entriesAfter(meta),
 	})
 	if err != nil {
 		return fmt.Errorf("group %d: %w", g.id, err)
 	}
 	g.node = node
 	g.applied = meta.Index
-	g.status.snapshotIndex = meta.Index
+	g.counters.snapshotIndex = meta.Index
 	return nil
 }
 
@@ -116,9 +116,9 @@
 	return s.Last == 0 && s.Term == 0
 }
 
-// empty says whether this member holds nothing of the group's log. Unlike a blank
+// logEmpty says whether this member holds nothing of the group's log. Unlike a blank
 // one it may have heard of a term.
-func (g *group) empty() bool {
+func (g *group) logEmpty() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.node.Empty()
@@ -153,9 +153,9 @@
 	for _, to := range outbox.Snapshots {
 		g.startTransfer(to)
 	}
-	if leads := g.node.IsLeader(); leads != g.leads {
-		g.leads = leads
-		g.leadChanged()
+	if leads := g.node.IsLeader(); leads != g.wasLeader {
+		g.wasLeader = leads
+		g.recordLeadershipChange()
 	}
 	g.signal()
 	return g.outbound(outbox.Messages)
@@ -165,13 +165,13 @@
 	return outbound{group: g.id, members: g.node.Membership(), messages: messages}
 }
 
-func (g *group) leadChanged() {
+func (g *group) recordLeadershipChange() {
 	name := metricDeposed
-	if g.leads {
+	if g.wasLeader {
 		name = metricElected
 	}
 	g.host.config.Metrics.Count(name)
-	g.host.logger.Info("leadership", zap.Uint32("group", g.id), zap.Bool("leads", g.leads), zap.Uint64("term", g.node.Term()))
+	g.host.logger.Info("leadership", zap.Uint32("group", g.id), zap.Bool("leads", g.wasLeader), zap.Uint64("term", g.node.Term()))
 }
 
 func (g *group) step(m quorum.Message) outbound {
@@ -194,12 +194,12 @@
 	limit := 2 * g.host.config.electionTimeout()
 	g.node.SetStalled(!g.syncSince.IsZero() && time.Since(g.syncSince) > limit)
 	g.node.Tick()
-	g.giveUpWaiting()
+	g.failStaleWaiters()
 	return g.drain()
 }
 
-// leadsIn says whether this member leads, and the term that it is in.
-func (g *group) leadsIn() (bool, uint64) {
+// leadership says whether this member leads, and the term that it is in.
+func (g *group) leadership() (bool, uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.node.IsLeader(), g.node.Term()
@@ -219,7 +219,7 @@
 		case <-g.wake:
 		}
 		for {
-			busy, err := g.cycle()
+			busy, err := g.runCycle()
 			if err != nil {
 				g.host.fail(fmt.Errorf("group %d: %w", g.id, err))
 				return
@@ -231,9 +231,9 @@
 	}
 }
 
-// cycle does one round of work; false if there was none. Committed entries are
+// runCycle does one round of work; false if there was none. Committed entries are
 // applied while the new ones are being synced.
-func (g *group) cycle() (bool, error) {
+func (g *group) runCycle() (bool, error) {
 	g.mu.Lock()
 	ready, ok := g.node.Ready()
 	g.mu.Unlock()
@@ -311,10 +311,10 @@
 	for i, entry := range entries {
 		if entry.Kind == quorum.EntryNormal {
 			results[i] = g.machine.Apply(Entry{Index: entry.Index, Data: entry.Data})
-			g.bytesSince += int64(len(entry.Data))
+			g.bytesSinceSnapshot += int64(len(entry.Data))
 		}
 	}
-	g.sinceSnapshot += uint64(len(entries))
+	g.entriesSinceSnapshot += uint64(len(entries))
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for i, entry := range entries {
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -21,14 +21,14 @@
 
 // Host holds the replicated groups of one VM. It is a Proposer.
 type Host struct {
-	config    Config
-	logger    *zap.Logger
-	self      Member
-	lock      *os.File
-	log       *wal.Log
-	transport *transport
-	groups    []*group
-	pacer     *pacer
+	config          Config
+	logger          *zap.Logger
+	self            Member
+	lock            *os.File
+	log             *wal.Log
+	transport       *transport
+	groups          []*group
+	transferLimiter *transferLimiter
 
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -41,7 +41,7 @@
 	candidates map[quorum.ID]candidate
 	seeds      []string // as the settings name them now
 	retiring   []string // VMs that are to hold nothing any more
-	located    map[uint32]located
+	locations  map[uint32]groupLocation
 	failure    error
 	ended      bool
 }
@@ -62,7 +62,7 @@
 	h := &Host{
 		config: config, logger: config.Logger, lock: lock,
 		done: make(chan struct{}), candidates: map[quorum.ID]candidate{},
-		pacer: newPacer(config.TransferRate), seeds: config.Seeds, located: make(map[uint32]located),
+		transferLimiter: newTransferLimiter(config.TransferRate), seeds: config.Seeds, locations: make(map[uint32]groupLocation),
 	}
 	h.ctx, h.cancel = context.WithCancel(context.Background())
 	if err := h.recover(); err != nil {
@@ -96,12 +96,12 @@
 	if err := h.loadInitial(); err != nil {
 		return err
 	}
-	found := make([]recovered, h.config.Groups)
+	found := make([]recoveredLog, h.config.Groups)
 	h.log, err = wal.Open(filepath.Join(folder, logFolder), h.config.WAL, func(record wal.Record) error {
 		if record.Group >= h.config.Groups {
 			return fmt.Errorf("the log holds group %d, the settings name %d groups; the number cannot be changed", record.Group, h.config.Groups)
 		}
-		return found[record.Group].take(record)
+		return found[record.Group].addRecord(record)
 	})
 	if err != nil {
 		return err
@@ -109,7 +109,7 @@
 	for id := range h.config.Groups {
 		g, err := openGroup(h, id)
 		if err == nil {
-			err = g.begin(&found[id])
+			err = g.startNode(&found[id])
 		}
 		if err != nil {
 			return errors.Join(err, h.log.Close())
@@ -133,7 +133,7 @@
 	if err := h.stopped(); err != nil {
 		return nil, err
 	}
-	h.transport.hear(b.From, b.Address)
+	h.transport.recordAddress(b.From, b.Address)
 	answers := make([]outbound, 0, len(b.Envelopes))
 	for _, e := range b.Envelopes {
 		if e.Group < uint32(len(h.groups)) {
@@ -152,7 +152,7 @@
 	}
 	h.wait.Go(h.runTicks)
 	h.wait.Go(h.runJoin)
-	h.wait.Go(h.runReplacement)
+	h.wait.Go(h.runReconcile)
 }
 
 // spawn runs fn until the host stops, which waits for it.
@@ -269,7 +269,7 @@
 // Stop ends the host and returns when its files are closed. Leadership is
 // handed over first where another voter holds the whole log.
 func (h *Host) Stop() {
-	h.handOver()
+	h.transferLeadership()
 	h.shutdown()
 }
 
@@ -281,7 +281,7 @@
 		h.cancel()
 		h.transport.stop()
 		h.wait.Wait()
-		h.failWaiting()
+		h.failWaiters()
 		err := errors.Join(h.log.Close(), h.lock.Close())
 		if err != nil {
 			h.logger.Warn("close the data folder", zap.Error(err))
@@ -291,7 +291,7 @@
 	<-h.done
 }
 
-func (h *Host) failWaiting() {
+func (h *Host) failWaiters() {
 	for _, g := range h.groups {
 		g.mu.Lock()
 		g.failProposals(&StoppedError{Cause: h.Err()})
@@ -303,19 +303,19 @@
 	}
 }
 
-// handOver transfers the leadership of each group that this VM leads and waits
+// transferLeadership transfers the leadership of each group that this VM leads and waits
 // for it, an election timeout at most.
-func (h *Host) handOver() {
+func (h *Host) transferLeadership() {
 	deadline := time.Now().Add(h.config.electionTimeout())
 	for _, g := range h.groups {
-		g.transferAway()
+		g.transferLeadership()
 	}
-	for h.leadsAny() && time.Now().Before(deadline) {
+	for h.leadsAnyGroup() && time.Now().Before(deadline) {
 		time.Sleep(h.config.Tick / 2)
 	}
 }
 
-func (h *Host) leadsAny() bool {
+func (h *Host) leadsAnyGroup() bool {
 	for _, g := range h.groups {
 		g.mu.Lock()
 		leads := g.node.IsLeader() && g.node.Membership().Voters() > 1
@@ -327,8 +327,8 @@
 	return false
 }
 
-// transferAway asks the reachable voter with the most of the log to lead.
-func (g *group) transferAway() {
+// transferLeadership asks the reachable voter with the most of the log to lead.
+func (g *group) transferLeadership() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var best quorum.MemberStatus
--- a/internal/replica/host_test.go
+++ b/internal/replica/host_test.go
@@ -19,18 +19,18 @@
 // The VM that leads is lost right after it acknowledged a change. Another one
 // leads, has the change, and goes on; the lost one comes back and catches up.
 func TestLeaderIsLost(t *testing.T) {
-	c := start(t, 3, 3, nil)
-	c.change("first")
+	c := startCluster(t, 3, 3, nil)
+	c.propose("first")
 	lost := c.leader()
 	lost.kill()
-	c.change("second")
+	c.propose("second")
 	for _, v := range c.others(lost) {
-		c.expect(v, "first")
-		c.expect(v, "second")
+		c.expectApplied(v, "first")
+		c.expectApplied(v, "second")
 	}
 	c.restart(lost)
-	c.expect(lost, "first")
-	c.expect(lost, "second")
+	c.expectApplied(lost, "first")
+	c.expectApplied(lost, "second")
 }
 
 // A partition cuts the leader off without closing a connection. Operators still
@@ -38,32 +38,32 @@
 // hanging, and it must give up its office, while the others go on. When the
 // partition heals, its own change that nobody acknowledged is gone.
 func TestLeaderIsIsolatedSilently(t *testing.T) {
-	c := start(t, 3, 3, nil)
-	c.change("first")
+	c := startCluster(t, 3, 3, nil)
+	c.propose("first")
 	isolated := c.leader()
-	isolated.silent.set(true)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	isolated.network.setHanging(true)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	started := time.Now()
 	if err := isolated.host.ReadBarrier(ctx, 0); err == nil {
 		t.Error("a leader without a majority confirmed a read")
 	}
-	err := c.tryChange(isolated, "lost")
+	err := c.tryPropose(isolated, "lost")
 	var unknown *OutcomeUnknownError
 	var elsewhere *NotLeaderError
 	if !errors.As(err, &unknown) && !errors.As(err, &elsewhere) {
 		t.Errorf("a leader without a majority answered %v", err)
 	}
-	if took := time.Since(started); took > patience/2 {
+	if took := time.Since(started); took > testTimeout/2 {
 		t.Errorf("it took %v to fail", took)
 	}
 	c.eventually("the isolated VM no longer leads", func() bool { return !isolated.host.Status()[0].Leads })
 	next := c.leader(isolated)
-	if err := c.tryChange(next, "second"); err != nil {
+	if err := c.tryPropose(next, "second"); err != nil {
 		t.Fatal(err)
 	}
-	isolated.silent.set(false)
-	c.expect(isolated, "second")
+	isolated.network.setHanging(false)
+	c.expectApplied(isolated, "second")
 	if isolated.machines[0].times("lost") > 1 {
 		t.Error("the change was applied twice")
 	}
@@ -74,12 +74,12 @@
 // only with the whole log. Right after that a second VM is lost: everything
 // acknowledged is there and the group goes on.
 func TestSecondLossRightAfterReplacement(t *testing.T) {
-	c := start(t, 3, 3, func(config *Config) {
+	c := startCluster(t, 3, 3, func(config *Config) {
 		config.ReplaceAfter = time.Second
 		config.SnapshotEntries = 50
 	})
 	for i := range 120 {
-		c.change(fmt.Sprint("before-", i))
+		c.propose(fmt.Sprint("before-", i))
 	}
 	lost := c.others(c.leader())[0]
 	old := lost.host.Self().ID
@@ -102,17 +102,17 @@
 	})
 	second := c.leader()
 	second.kill()
-	c.change("after")
+	c.propose("after")
 	for i := range 120 {
-		c.expect(lost, fmt.Sprint("before-", i))
+		c.expectApplied(lost, fmt.Sprint("before-", i))
 	}
-	c.expect(lost, "after")
+	c.expectApplied(lost, "after")
 }
 
 // An operator replaces a member by hand, onto a spare VM.
 func TestOperatorReplacesMember(t *testing.T) {
-	c := start(t, 4, 3, func(config *Config) { config.Groups = 3 })
-	c.change("first")
+	c := startCluster(t, 4, 3, func(config *Config) { config.Groups = 3 })
+	c.propose("first")
 	spare := c.vms[3]
 	lost := c.others(c.leader())[0]
 	lost.kill()
@@ -127,18 +127,18 @@
 		}
 		return true
 	})
-	c.expect(spare, "first")
+	c.expectApplied(spare, "first")
 }
 
 // All VMs restart after a thousand changes, over several snapshots. Each change
 // is there once, in files and in memory.
 func TestAllRestartAfterThousandChanges(t *testing.T) {
-	c := start(t, 3, 3, func(config *Config) { config.SnapshotEntries = 300 })
+	c := startCluster(t, 3, 3, func(config *Config) { config.SnapshotEntries = 300 })
 	var wait sync.WaitGroup
 	for worker := range 20 {
 		wait.Go(func() {
 			for i := range 50 {
-				c.change(fmt.Sprintf("%d-%d", worker, i))
+				c.propose(fmt.Sprintf("%d-%d", worker, i))
 			}
 		})
 	}
@@ -152,11 +152,11 @@
 	for _, v := range c.vms {
 		for worker := range 20 {
 			for i := range 50 {
-				c.expect(v, fmt.Sprintf("%d-%d", worker, i))
+				c.expectApplied(v, fmt.Sprintf("%d-%d", worker, i))
 			}
 		}
 	}
-	c.change("after")
+	c.propose("after")
 }
 
 // The disk under the leader reports one failed sync, then works again. What it
@@ -164,7 +164,7 @@
 // that was acknowledged.
 func TestSyncErrorStopsTheMember(t *testing.T) {
 	var failing atomic.Pointer[string]
-	c := start(t, 3, 3, func(config *Config) {
+	c := startCluster(t, 3, 3, func(config *Config) {
 		name := config.VM
 		config.WAL.Create = func(path string) (wal.File, error) {
 			file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -174,23 +174,23 @@
 			}}, err
 		}
 	})
-	c.change("first")
+	c.propose("first")
 	bad := c.leader()
 	failing.Store(&bad.name)
-	_ = c.tryChange(bad, "second")
+	_ = c.tryPropose(bad, "second")
 	failing.Store(nil)
 	<-bad.host.Done()
 	if bad.host.Err() == nil {
 		t.Error("the failed disk is not reported")
 	}
 	var stopped *StoppedError
-	if err := c.tryChange(bad, "third"); !errors.As(err, &stopped) {
+	if err := c.tryPropose(bad, "third"); !errors.As(err, &stopped) {
 		t.Errorf("a stopped member answered %v", err)
 	}
-	c.change("fourth")
+	c.propose("fourth")
 	for _, v := range c.others(bad) {
-		c.expect(v, "first")
-		c.expect(v, "fourth")
+		c.expectApplied(v, "first")
+		c.expectApplied(v, "fourth")
 	}
 }
 
@@ -202,7 +202,7 @@
 	var hanging atomic.Pointer[string]
 	released := make(chan struct{})
 	release := sync.OnceFunc(func() { close(released) })
-	c := start(t, 3, 3, func(config *Config) {
+	c := startCluster(t, 3, 3, func(config *Config) {
 		name := config.VM
 		config.WAL.Create = func(path string) (wal.File, error) {
 			file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -215,32 +215,32 @@
 		}
 	})
 	t.Cleanup(release)
-	c.change("first")
+	c.propose("first")
 	bad := c.leader()
 	hanging.Store(&bad.name)
-	c.change("second")
+	c.propose("second")
 	if c.leader() == bad {
 		t.Error("the VM with the hanging disk still leads")
 	}
 	hanging.Store(nil)
 	release()
-	c.expect(bad, "second")
+	c.expectApplied(bad, "second")
 }
 
 // Something between the VMs loses track of their connections: they stay open
 // and nothing passes, while new ones work. The members must notice and open new
 // ones; without the bound on a call the group would stand still for good.
 func TestConnectionsGoSilent(t *testing.T) {
-	c := start(t, 3, 3, nil)
+	c := startCluster(t, 3, 3, nil)
 	for i := range 3 {
-		c.change(fmt.Sprint("before-", i))
+		c.propose(fmt.Sprint("before-", i))
 		for _, v := range c.vms {
-			v.silent.loseConnections()
+			v.network.blackholeConnections()
 		}
-		c.change(fmt.Sprint("after-", i))
+		c.propose(fmt.Sprint("after-", i))
 	}
 	for _, v := range c.vms {
-		c.expect(v, "after-2")
+		c.expectApplied(v, "after-2")
 	}
 }
 
@@ -250,7 +250,7 @@
 func TestMemberCatchesUpWhileChangesGoOn(t *testing.T) {
 	const size = 16 << 10
 	core, logged := observer.New(zap.InfoLevel)
-	c := start(t, 3, 3, func(config *Config) {
+	c := startCluster(t, 3, 3, func(config *Config) {
 		config.Logger = zap.New(core)
 		config.SnapshotEntries = 20
 		config.KeepEntries = 10
@@ -263,7 +263,7 @@
 		return c.idleTicks(away) > 3*defaultElectionTicks
 	})
 	for i := range 100 {
-		c.change(fmt.Sprintf("%0*d", size, i))
+		c.propose(fmt.Sprintf("%0*d", size, i))
 	}
 	c.restart(away)
 	reached := c.leader().host.Status()[0].Commit
@@ -276,13 +276,13 @@
 				case <-stop:
 					return
 				default:
-					_ = c.tryChange(c.leader(), fmt.Sprintf("busy-%d-%d", worker, i))
+					_ = c.tryPropose(c.leader(), fmt.Sprintf("busy-%d-%d", worker, i))
 				}
 			}
 		})
 	}
 	c.eventually("the member takes entries one by one", func() bool {
-		m := c.viewOf(away)
+		m := c.memberStatus(away)
 		return m.Reachable && m.Match > reached
 	})
 	close(stop)
@@ -299,8 +299,8 @@
 // begun, while another is down. Neither the blank disk nor the rest may begin a
 // group of their own; with all of them back there is one group.
 func TestBootstrapWaitsForAll(t *testing.T) {
-	c := start(t, 3, 3, func(config *Config) {})
-	c.change("first")
+	c := startCluster(t, 3, 3, func(config *Config) {})
+	c.propose("first")
 	for _, v := range c.vms {
 		v.kill()
 	}
@@ -315,7 +315,7 @@
 		t.Error("a blank disk began a group while others hold one")
 	}
 	c.restart(c.vms[2])
-	c.change("second")
-	c.expect(c.vms[1], "first")
-	c.expect(c.vms[2], "first")
+	c.propose("second")
+	c.expectApplied(c.vms[1], "first")
+	c.expectApplied(c.vms[2], "first")
 }
--- a/internal/replica/locate.go
+++ b/internal/replica/locate.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// searchHops bounds a search: members that were asked name others, which may
+	// maxSearchHops bounds a search: members that were asked name others, which may
 	// have taken their place.
-	searchHops = 4
+	maxSearchHops = 4
 	// searchTimeout bounds each hop.
 	searchTimeout = 300 * time.Millisecond
-	// locatedLifetime is how long a leader that was found is not looked for again.
-	locatedLifetime = 2 * time.Second
+	// locatedLeaderTTL is how long a leader that was found is not looked for again.
+	locatedLeaderTTL = 2 * time.Second
 )
 
-// located is what this VM has learnt of a group of which it is no member.
-type located struct {
+// groupLocation is what this VM has learnt of a group of which it is no member.
+type groupLocation struct {
 	leader  Member // zero: none was found
 	members []quorum.Member
-	at      time.Time
+	foundAt time.Time
 }
 
 // Locate looks for the leaders of the groups of which this VM knows none, since it
@@ -32,8 +32,8 @@
 // for Members, and where a leader is needed.
 func (h *Host) Locate(ctx context.Context) {
 	for id := range h.Groups() {
-		if _, known := h.Leader(id); !known && h.locatedAge(id) > locatedLifetime {
-			h.search(ctx, id)
+		if _, known := h.Leader(id); !known && h.locatedLeaderAge(id) > locatedLeaderTTL {
+			h.searchLeader(ctx, id)
 		}
 	}
 }
@@ -50,18 +50,18 @@
 func (h *Host) locatedLeader(id uint32) (Member, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	leader := h.located[id].leader
+	leader := h.locations[id].leader
 	return leader, leader.Address != ""
 }
 
-// locatedAge is how long ago a leader of the group was found.
-func (h *Host) locatedAge(id uint32) time.Duration {
+// locatedLeaderAge is how long ago a leader of the group was found.
+func (h *Host) locatedLeaderAge(id uint32) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.located[id].leader.Address == "" {
-		return locatedLifetime + 1
+	if h.locations[id].leader.Address == "" {
+		return locatedLeaderTTL + 1
 	}
-	return time.Since(h.located[id].at)
+	return time.Since(h.locations[id].foundAt)
 }
 
 // findLeader gives the leader of a group, which may be looked for.
@@ -69,43 +69,43 @@
 	if leader, known := h.Leader(id); known {
 		return leader, true
 	}
-	return h.search(ctx, id)
+	return h.searchLeader(ctx, id)
 }
 
-// search asks the members of a group, as far as they are known here, and those
+// searchLeader asks the members of a group, as far as they are known here, and those
 // whom they name, until one says that it leads.
-func (h *Host) search(ctx context.Context, id uint32) (Member, bool) {
+func (h *Host) searchLeader(ctx context.Context, id uint32) (Member, bool) {
 	asked := map[string]bool{h.self.Address: true}
-	next := h.whereabouts(id)
-	for range searchHops {
+	next := h.searchAddresses(id)
+	for range maxSearchHops {
 		var named []string
-		for address, status := range h.askStatus(ctx, id, next, asked) {
+		for address, status := range h.fetchStatuses(ctx, id, next, asked) {
 			if status.Leads {
-				return h.noteLocated(id, address, &status), true
+				return h.recordLocation(id, address, &status), true
 			}
 			named = append(named, addressesOf(&status)...)
 		}
 		next = named
 	}
-	h.forgetLocated(id)
+	h.clearLocatedLeader(id)
 	return Member{}, false
 }
 
-// forgetLocated notes that no leader was found. The members are a start for the
+// clearLocatedLeader notes that no leader was found. The members are a start for the
 // next search.
-func (h *Host) forgetLocated(id uint32) {
+func (h *Host) clearLocatedLeader(id uint32) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	found := h.located[id]
+	found := h.locations[id]
 	found.leader = Member{}
-	h.located[id] = found
+	h.locations[id] = found
 }
 
-// whereabouts gives the addresses at which a search for the group begins: the
+// searchAddresses gives the addresses at which a search for the group begins: the
 // members found by the last one, else those that this VM knew last, else everyone.
-func (h *Host) whereabouts(id uint32) []string {
+func (h *Host) searchAddresses(id uint32) []string {
 	h.mu.Lock()
-	members := h.located[id].members
+	members := h.locations[id].members
 	h.mu.Unlock()
 	if len(members) == 0 {
 		members = h.groups[id].membership().Members
@@ -120,9 +120,9 @@
 	return addresses
 }
 
-// askStatus asks all addresses at once that were not asked before, and gives what
+// fetchStatuses asks all addresses at once that were not asked before, and gives what
 // they say of the group, by address.
-func (h *Host) askStatus(ctx context.Context, id uint32, addresses []string, asked map[string]bool) map[string]GroupStatus {
+func (h *Host) fetchStatuses(ctx context.Context, id uint32, addresses []string, asked map[string]bool) map[string]GroupStatus {
 	ctx, cancel := context.WithTimeout(ctx, searchTimeout)
 	defer cancel()
 	var mu sync.Mutex
@@ -147,8 +147,8 @@
 	return found
 }
 
-func (h *Host) noteLocated(id uint32, address string, status *GroupStatus) Member {
-	found := located{leader: Member{ID: status.Leader, Address: address}, at: time.Now()}
+func (h *Host) recordLocation(id uint32, address string, status *GroupStatus) Member {
+	found := groupLocation{leader: Member{ID: status.Leader, Address: address}, foundAt: time.Now()}
 	for _, m := range status.Members {
 		if m.Address == address {
 			found.leader.VM = m.VM
@@ -157,7 +157,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.located[id] = found
+	h.locations[id] = found
 	return found.leader
 }
 
@@ -170,7 +170,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if found := h.located[id].members; len(found) > 0 {
+	if found := h.locations[id].members; len(found) > 0 {
 		return slices.Clone(found)
 	}
 	return own
--- a/internal/replica/locate_test.go
+++ b/internal/replica/locate_test.go
@@ -11,7 +11,7 @@
 func TestAVMThatIsNoMemberFindsTheLeader(t *testing.T) {
 	const jobs = 1
 	classes := map[string]string{"vm-0": "control", "vm-1": "control", "vm-2": "control"}
-	c := start(t, 7, 3, func(config *Config) {
+	c := startCluster(t, 7, 3, func(config *Config) {
 		config.Groups, config.TargetVoters, config.LeastVoters = 2, 3, 3
 		config.ReplaceAfter = time.Second
 		config.Class = "store"
@@ -44,7 +44,7 @@
 		_, known := control.host.Leader(jobs)
 		return !known
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	// A search may end without a leader, and a VM that has just been removed follows
 	// its last one for an election timeout; the role that searches repeats it.
--- a/internal/replica/orders.go
+++ b/internal/replica/orders.go
@@ -104,19 +104,19 @@
 	if request.Group >= uint32(len(h.groups)) {
 		return nil, fmt.Errorf("no group %d", request.Group)
 	}
-	candidates := h.freshCandidates()
+	candidates := h.recentCandidates()
 	g := h.groups[request.Group]
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.node.IsLeader() {
 		return nil, g.notLeader()
 	}
-	return &ack{}, g.orderReplacement(request, candidates)
+	return &ack{}, g.scheduleReplacement(request, candidates)
 }
 
-// orderReplacement is idempotent: a group in which the new disk has taken the
+// scheduleReplacement is idempotent: a group in which the new disk has taken the
 // place already needs no order.
-func (g *group) orderReplacement(request *replaceRequest, candidates []quorum.Member) error {
+func (g *group) scheduleReplacement(request *replaceRequest, candidates []quorum.Member) error {
 	members := g.node.Membership().Members
 	onNew := func(m quorum.Member) bool { return m.VM == request.NewVM }
 	blank := slices.IndexFunc(candidates, onNew)
@@ -141,6 +141,6 @@
 		return apierr.New(apierr.Conflict, ReasonNoCandidate, "start its daemon with an empty data folder first",
 			"no blank member on VM %s has been heard", request.NewVM)
 	}
-	g.request = &replacement{Old: old.ID, New: *fresh}
+	g.pendingReplacement = &replacement{Old: old.ID, New: *fresh}
 	return nil
 }
--- a/internal/replica/replacement.go
+++ b/internal/replica/replacement.go
@@ -19,34 +19,34 @@
 
 // candidate is a blank member that waits to be taken in.
 type candidate struct {
-	member quorum.Member
-	heard  time.Time
+	member      quorum.Member
+	lastContact time.Time
 }
 
-func (h *Host) noteCandidate(member quorum.Member) {
+func (h *Host) recordCandidate(member quorum.Member) {
 	member.Learner = false
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.candidates[member.ID] = candidate{member: member, heard: time.Now()}
+	h.candidates[member.ID] = candidate{member: member, lastContact: time.Now()}
 }
 
 // NoteCandidates takes in the blank members that another VM has heard.
 func (h *Host) NoteCandidates(members []quorum.Member) {
 	for _, member := range members {
-		h.noteCandidate(member)
+		h.recordCandidate(member)
 	}
 }
 
 // Candidates gives the blank members heard lately.
-func (h *Host) Candidates() []quorum.Member { return h.freshCandidates() }
+func (h *Host) Candidates() []quorum.Member { return h.recentCandidates() }
 
-// freshCandidates gives the blank members heard lately, in order of ID.
-func (h *Host) freshCandidates() []quorum.Member {
+// recentCandidates gives the blank members heard lately, in order of ID.
+func (h *Host) recentCandidates() []quorum.Member {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var members []quorum.Member
 	for id, c := range h.candidates {
-		if time.Since(c.heard) > candidateTTL {
+		if time.Since(c.lastContact) > candidateTTL {
 			delete(h.candidates, id)
 			continue
 		}
@@ -55,7 +55,7 @@
 	return quorum.NewMembership(members...).Members
 }
 
-func (h *Host) runReplacement() {
+func (h *Host) runReconcile() {
 	ticker := time.NewTicker(reconcileInterval)
 	defer ticker.Stop()
 	for {
@@ -71,11 +71,11 @@
 // reconcile makes one change in one of the groups that this VM leads.
 func (h *Host) reconcile() {
 	view := repairView{
-		candidates: h.freshCandidates(),
+		candidates: h.recentCandidates(),
 		target:     h.config.targetVoters(),
 		lostTicks:  int(h.config.ReplaceAfter / h.config.Tick),
 		retiring:   h.retiringVMs(),
-		least:      h.config.LeastVoters,
+		minVoters:  h.config.LeastVoters,
 	}
 	for _, g := range h.groups {
 		if g.reconcile(view) {
@@ -91,14 +91,14 @@
 		return false
 	}
 	view.members = g.node.Status().Members
-	view.preferred, view.self = g.host.config.preferred(g.id), g.host.self.ID
-	view.request = g.request
-	if g.request != nil && !view.has(g.request.Old) && view.has(g.request.New.ID) {
-		g.request = nil
+	view.preferredClass, view.self = g.host.config.preferredClass(g.id), g.host.self.ID
+	view.replacement = g.pendingReplacement
+	if g.pendingReplacement != nil && !view.hasMember(g.pendingReplacement.Old) && view.hasMember(g.pendingReplacement.New.ID) {
+		g.pendingReplacement = nil
 	}
 	change, ok := nextChange(view)
 	if !ok {
-		g.preferLeader(view)
+		g.transferToPreferredClass(view)
 		return false
 	}
 	if _, err := g.node.ProposeChange(change); err != nil {
@@ -110,11 +110,11 @@
 	return true
 }
 
-// preferLeader hands the group over to a voter of the preferred class. The VMs of
+// transferToPreferredClass hands the group over to a voter of the preferred class. The VMs of
 // that class have the processor for it, and the loss of one VM then does not take
 // the leader of the configuration with that of the jobs. The mutex is held.
-func (g *group) preferLeader(view repairView) {
-	better, ok := view.betterLeader()
+func (g *group) transferToPreferredClass(view repairView) {
+	better, ok := view.preferredLeader()
 	if !ok {
 		return
 	}
--- a/internal/replica/sendqueue.go
+++ b/internal/replica/sendqueue.go
@@ -40,8 +40,8 @@
 		e.Message.To == other.Message.To && e.Message.Term == other.Message.Term
 }
 
-// take gives what fits into one call; a single larger message still goes.
-func (q *sendQueue) take() []envelope {
+// takeBatch gives what fits into one call; a single larger message still goes.
+func (q *sendQueue) takeBatch() []envelope {
 	size, count := 0, 0
 	for i := range q.envelopes {
 		size += q.envelopes[i].size()
--- a/internal/replica/sendqueue_test.go
+++ b/internal/replica/sendqueue_test.go
@@ -26,7 +26,7 @@
 	}
 	q.add(heartbeatTo(3, 1, 1))
 	q.add(heartbeatTo(2, 2, 81))
-	sent := q.take()
+	sent := q.takeBatch()
 	if len(sent) != 4 {
 		t.Fatalf("%d messages wait, 4 were expected", len(sent))
 	}
@@ -42,7 +42,7 @@
 	q.add(appendTo(2, maxBatchBytes/4))
 	q.add(appendTo(2, maxBatchBytes/2))
 	for i, want := range []int{1, 2, 1, 0} {
-		if got := len(q.take()); got != want {
+		if got := len(q.takeBatch()); got != want {
 			t.Errorf("call %d carries %d messages, %d were expected", i, got, want)
 		}
 	}
--- a/internal/replica/snapshot.go
+++ b/internal/replica/snapshot.go
@@ -13,15 +13,15 @@
 	bytes, oldest, several := g.host.log.Size()
 	// A quiet group must not keep old segments for good.
 	pinning := several && oldest == g.id && bytes > 4*config.SnapshotBytes
-	due := g.sinceSnapshot >= config.SnapshotEntries || g.bytesSince >= config.SnapshotBytes
-	if g.sinceSnapshot == 0 || !due && !pinning {
+	due := g.entriesSinceSnapshot >= config.SnapshotEntries || g.bytesSinceSnapshot >= config.SnapshotBytes
+	if g.entriesSinceSnapshot == 0 || !due && !pinning {
 		return nil
 	}
-	return g.snapshot()
+	return g.takeSnapshot()
 }
 
-// snapshot makes the state durable and lets go of the log before it.
-func (g *group) snapshot() error {
+// takeSnapshot makes the state durable and lets go of the log before it.
+func (g *group) takeSnapshot() error {
 	taken, err := g.machine.Snapshot()
 	if err != nil {
 		return fmt.Errorf("snapshot: %w", err)
@@ -39,14 +39,14 @@
 	}
 	g.mu.Lock()
 	_, err = g.node.Compact(meta.Index, g.entriesToKeep(meta.Index))
-	g.status = groupCounters{snapshotIndex: meta.Index, snapshotBytes: bytes}
+	g.counters = groupCounters{snapshotIndex: meta.Index, snapshotBytes: bytes}
 	g.mu.Unlock()
 	if err != nil {
 		return nil // as above: the newer snapshot follows in the next cycle
 	}
 	stored.State = nil
-	g.installed = stored
-	g.sinceSnapshot, g.bytesSince = 0, 0
+	g.lastSnapshot = stored
+	g.entriesSinceSnapshot, g.bytesSinceSnapshot = 0, 0
 	g.host.config.Metrics.Count(metricSnapshots)
 	g.host.logger.Debug("snapshot", zap.Uint32("group", g.id), zap.Uint64("index", meta.Index), zap.Int("bytes", bytes))
 	return g.host.log.Release(g.id, meta.Index)
@@ -67,7 +67,7 @@
 
 // install puts a snapshot that has arrived in full in place of the state.
 func (g *group) install(meta quorum.SnapshotMeta) error {
-	if err := g.staging.handOver(g.store.path(installFolder)); err != nil {
+	if err := g.staging.moveTo(g.store.path(installFolder)); err != nil {
 		return err
 	}
 	if err := g.store.finishInstall(); err != nil {
@@ -84,12 +84,12 @@
 		return fmt.Errorf("restore: %w", err)
 	}
 	stored.State = nil
-	g.installed = stored
-	g.sinceSnapshot, g.bytesSince = 0, 0
+	g.lastSnapshot = stored
+	g.entriesSinceSnapshot, g.bytesSinceSnapshot = 0, 0
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.applied = meta.Index
-	g.status.snapshotIndex = meta.Index
+	g.counters.snapshotIndex = meta.Index
 	for index, waiting := range g.proposals {
 		if index <= meta.Index {
 			waiting.done <- outcome{err: &OutcomeUnknownError{Group: g.id, Cause: errLeadershipLost}}
--- a/internal/replica/staging.go
+++ b/internal/replica/staging.go
@@ -17,9 +17,9 @@
 type staging struct {
 	folder string
 
-	mu       sync.Mutex
-	transfer string
-	whole    bool // handed to the decision, not installed yet
+	mu         sync.Mutex
+	transferID string
+	sealed     bool // handed to the decision, not installed yet
 }
 
 var errStagingBusy = errors.New("another snapshot is being installed")
@@ -27,17 +27,17 @@
 func (s *staging) write(c *chunk) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.whole {
+	if s.sealed {
 		return errStagingBusy
 	}
 	if c.Begin {
 		if err := errors.Join(os.RemoveAll(s.folder), os.MkdirAll(s.folder, 0o700)); err != nil {
 			return err
 		}
-		s.transfer = c.Transfer
+		s.transferID = c.Transfer
 	}
-	if c.Transfer != s.transfer {
-		return fmt.Errorf("transfer %s was replaced by %s", c.Transfer, s.transfer)
+	if c.Transfer != s.transferID {
+		return fmt.Errorf("transfer %s was replaced by %s", c.Transfer, s.transferID)
 	}
 	if c.Final != nil {
 		return nil
@@ -73,15 +73,15 @@
 		return err
 	}
 	for _, file := range stored.Files {
-		if err := sealFile(filepath.Join(s.folder, file.Name+fileSuffix), file); err != nil {
+		if err := checkAndSyncFile(filepath.Join(s.folder, file.Name+fileSuffix), file); err != nil {
 			return err
 		}
 	}
-	s.whole = true
+	s.sealed = true
 	return wal.SyncFolder(s.folder)
 }
 
-func sealFile(path string, file File) error {
+func checkAndSyncFile(path string, file File) error {
 	info, err := os.Stat(path)
 	if err != nil {
 		return err
@@ -100,22 +100,22 @@
 	return errors.Join(file.Sync(), file.Close())
 }
 
-// discard lets the next transfer begin.
-func (s *staging) discard() {
+// reset lets the next transfer begin.
+func (s *staging) reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.whole = false
-	s.transfer = ""
+	s.sealed = false
+	s.transferID = ""
 }
 
-// handOver moves the whole snapshot to where the store installs it from.
-func (s *staging) handOver(install string) error {
+// moveTo moves the whole snapshot to where the store installs it from.
+func (s *staging) moveTo(install string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := os.Rename(s.folder, install); err != nil {
 		return fmt.Errorf("hand over a snapshot: %w", err)
 	}
-	s.whole = false
-	s.transfer = ""
+	s.sealed = false
+	s.transferID = ""
 	return wal.SyncFolder(filepath.Dir(install))
 }
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -46,18 +46,18 @@
 func (h *Host) Status() []GroupStatus {
 	statuses := make([]GroupStatus, len(h.groups))
 	for i, g := range h.groups {
-		statuses[i] = g.view()
+		statuses[i] = g.status()
 	}
 	return statuses
 }
 
-func (g *group) view() GroupStatus {
+func (g *group) status() GroupStatus {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.node.Status()
 	status := GroupStatus{
 		Group: g.id, Leader: s.Leader, Leads: s.Role == quorum.Leader, Term: s.Term, Commit: s.Commit, Applied: g.applied,
-		SnapshotIndex: g.status.snapshotIndex, SnapshotBytes: g.status.snapshotBytes,
+		SnapshotIndex: g.counters.snapshotIndex, SnapshotBytes: g.counters.snapshotBytes,
 		VotersReachable: s.Reachable, Tolerance: s.Tolerance, Confirmed: s.Role == quorum.Leader && s.Settled,
 	}
 	for _, m := range s.Members {
--- a/internal/replica/store.go
+++ b/internal/replica/store.go
@@ -103,9 +103,9 @@
 	return len(data), wal.ReplaceFile(s.path(snapshotFile), data)
 }
 
-// cutFiles brings the machine's folder to what a snapshot states: appends made
+// truncateFiles brings the machine's folder to what a snapshot states: appends made
 // after it are cut off, because the replay of the log makes them again.
-func (s *store) cutFiles(files []File) error {
+func (s *store) truncateFiles(files []File) error {
 	present, err := os.ReadDir(s.path(filesFolder))
 	if err != nil {
 		return fmt.Errorf("list a machine's files: %w", err)
@@ -120,14 +120,14 @@
 		}
 	}
 	for _, file := range files {
-		if err := s.cutFile(file); err != nil {
+		if err := s.truncateFile(file); err != nil {
 			return err
 		}
 	}
 	return wal.SyncFolder(s.path(filesFolder))
 }
 
-func (s *store) cutFile(file File) error {
+func (s *store) truncateFile(file File) error {
 	path := s.path(filesFolder, file.Name)
 	info, err := os.Stat(path)
 	if err != nil {
@@ -163,7 +163,7 @@
 			return fmt.Errorf("install a snapshot's file: %w", err)
 		}
 	}
-	if err := s.cutFiles(stored.Files); err != nil {
+	if err := s.truncateFiles(stored.Files); err != nil {
 		return err
 	}
 	if err := os.Rename(filepath.Join(install, snapshotFile), s.path(snapshotFile)); err != nil {
@@ -190,13 +190,13 @@
 	return name != "" && name != "." && name != ".." && !strings.ContainsAny(name, "/\\\x00")
 }
 
-// recovered collects a group's records while the shared log is read.
-type recovered struct {
+// recoveredLog collects a group's records while the shared log is read.
+type recoveredLog struct {
 	state   quorum.HardState
 	entries []quorum.Entry
 }
 
-func (r *recovered) take(record wal.Record) error {
+func (r *recoveredLog) addRecord(record wal.Record) error {
 	switch record.Kind {
 	case recordHardState:
 		return codec.Unmarshal(record.Data, &r.state)
@@ -220,10 +220,10 @@
 	return nil
 }
 
-// after gives the entries that follow a snapshot. None follow it if the log
+// entriesAfter gives the entries that follow a snapshot. None follow it if the log
 // holds another entry at its index: the snapshot came from another member, and
 // the crash fell between its installation and the record that voids the log.
-func (r *recovered) after(meta quorum.SnapshotMeta) []quorum.Entry {
+func (r *recoveredLog) entriesAfter(meta quorum.SnapshotMeta) []quorum.Entry {
 	for i, entry := range r.entries {
 		if entry.Index == meta.Index && entry.Term != meta.Term {
 			return nil
--- a/internal/replica/transfer.go
+++ b/internal/replica/transfer.go
@@ -39,12 +39,12 @@
 	Address string          `cbor:"10,keyasint"`
 }
 
-// pacer bounds the bytes a second that snapshots take, so that a repair does
+// transferLimiter bounds the bytes a second that snapshots take, so that a repair does
 // not slow the changes that go on beside it.
-type pacer struct{ limiter *rate.Limiter }
+type transferLimiter struct{ limiter *rate.Limiter }
 
-func newPacer(bytesPerSecond int64) *pacer {
-	return &pacer{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), chunkSize)}
+func newTransferLimiter(bytesPerSecond int64) *transferLimiter {
+	return &transferLimiter{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), chunkSize)}
 }
 
 // startTransfer sends the newest snapshot to a member. The mutex is held.
@@ -62,7 +62,7 @@
 		if err != nil {
 			g.host.config.Metrics.Count(metricTransferFails)
 			g.host.logger.Warn("snapshot transfer", zap.Uint32("group", g.id), zap.String("to", address), zap.Error(err))
-			sleep(g.host.ctx, transferRetry)
+			sleepContext(g.host.ctx, transferRetry)
 		} else {
 			g.host.logger.Info("snapshot sent", zap.Uint32("group", g.id), zap.Stringer("member", to), zap.String("to", address),
 				zap.Uint64("index", index))
@@ -75,7 +75,7 @@
 	})
 }
 
-func sleep(ctx context.Context, d time.Duration) {
+func sleepContext(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -84,12 +84,12 @@
 	}
 }
 
-// outgoing is one transfer on the sending side.
-type outgoing struct {
+// outgoingTransfer is one transfer on the sending side.
+type outgoingTransfer struct {
 	group   *group
 	address string
 	id      string
-	begun   bool
+	started bool
 }
 
 // transfer sends the snapshot on disk and gives its index. base stands in for
@@ -106,7 +106,7 @@
 	if err != nil {
 		return 0, err
 	}
-	o := &outgoing{group: g, address: address, id: uuid.NewString()}
+	o := &outgoingTransfer{group: g, address: address, id: uuid.NewString()}
 	if err := o.sendBytes(snapshotFile, encoded); err != nil {
 		return 0, err
 	}
@@ -118,13 +118,13 @@
 	final := quorum.Message{
 		Type: quorum.MsgSnapshot, From: g.host.self.ID, To: to, Term: term, Snapshot: &stored.Meta,
 	}
-	return stored.Meta.Index, o.call(chunk{Final: &final})
+	return stored.Meta.Index, o.sendChunk(chunk{Final: &final})
 }
 
-func (o *outgoing) sendBytes(name string, data []byte) error {
+func (o *outgoingTransfer) sendBytes(name string, data []byte) error {
 	for offset := 0; ; offset += chunkSize {
 		end := min(offset+chunkSize, len(data))
-		if err := o.call(chunk{Name: name, Offset: int64(offset), Data: data[offset:end]}); err != nil {
+		if err := o.sendChunk(chunk{Name: name, Offset: int64(offset), Data: data[offset:end]}); err != nil {
 			return err
 		}
 		if end == len(data) {
@@ -133,7 +133,7 @@
 	}
 }
 
-func (o *outgoing) sendFile(file File) error {
+func (o *outgoingTransfer) sendFile(file File) error {
 	opened, err := os.Open(o.group.store.path(filesFolder, file.Name))
 	if err != nil {
 		return fmt.Errorf("open a snapshot's file: %w", err)
@@ -145,7 +145,7 @@
 		if _, err := io.ReadFull(opened, part); err != nil {
 			return fmt.Errorf("read a snapshot's file: %w", err)
 		}
-		if err := o.call(chunk{Name: file.Name + fileSuffix, Offset: offset, Data: part}); err != nil {
+		if err := o.sendChunk(chunk{Name: file.Name + fileSuffix, Offset: offset, Data: part}); err != nil {
 			return err
 		}
 		offset += int64(len(part))
@@ -155,15 +155,15 @@
 	}
 }
 
-func (o *outgoing) call(c chunk) error {
+func (o *outgoingTransfer) sendChunk(c chunk) error {
 	h := o.group.host
-	if err := h.pacer.limiter.WaitN(h.ctx, len(c.Data)); err != nil {
+	if err := h.transferLimiter.limiter.WaitN(h.ctx, len(c.Data)); err != nil {
 		return err
 	}
-	c.Group, c.Transfer, c.Begin = o.group.id, o.id, !o.begun
+	c.Group, c.Transfer, c.Begin = o.group.id, o.id, !o.started
 	c.Checksum = crc32.Checksum(c.Data, castagnoli)
 	c.From, c.Address = h.self.ID, h.self.Address
-	o.begun = true
+	o.started = true
 	ctx, cancel := context.WithTimeout(h.ctx, chunkTimeout)
 	defer cancel()
 	_, err := rpc.Call(ctx, h.transport.client, o.address, procedureChunk, &c)
@@ -177,7 +177,7 @@
 	if c.Group >= uint32(len(h.groups)) {
 		return nil, fmt.Errorf("no group %d", c.Group)
 	}
-	h.transport.hear(c.From, c.Address)
+	h.transport.recordAddress(c.From, c.Address)
 	g := h.groups[c.Group]
 	if err := g.staging.write(c); err != nil {
 		return nil, err
@@ -201,7 +201,7 @@
 	defer g.mu.Unlock()
 	g.node.Step(m)
 	if !g.node.Installing() {
-		g.staging.discard()
+		g.staging.reset()
 	}
 	g.flush()
 }
--- a/internal/replica/transport.go
+++ b/internal/replica/transport.go
@@ -27,13 +27,13 @@
 const maxBody = 16 << 20
 
 const (
-	// callsPerElection calls, one after the other, may time out in an election
+	// callsPerElectionTimeout calls, one after the other, may time out in an election
 	// timeout. A connection may go silent for good, in both directions at once:
 	// then a heartbeat is lost, and after it the answer to the next one. Both
 	// must be noticed before the leader gives up its office.
-	callsPerElection = 3
-	// slowestLink, in bytes a second, extends the timeout of large batches.
-	slowestLink = 4 << 20
+	callsPerElectionTimeout = 3
+	// minLinkRate, in bytes a second, extends the timeout of large batches.
+	minLinkRate = 4 << 20
 )
 
 type ack struct{}
@@ -67,26 +67,26 @@
 	self    Member
 	timeout time.Duration
 	logger  *zap.Logger
-	// lost is told of each message that may not have arrived.
-	lost func(group uint32, to quorum.ID)
+	// onLost is told of each message that may not have arrived.
+	onLost func(group uint32, to quorum.ID)
 
 	mu    sync.Mutex
 	peers map[string]*peer // by address
-	// heard holds the addresses that members gave in their calls. A blank
+	// senderAddresses holds the addresses that members gave in their calls. A blank
 	// member learns from it where to answer before it has any membership.
-	heard   map[quorum.ID]string
-	stopped bool
-	wait    sync.WaitGroup
-	ctx     context.Context
-	cancel  context.CancelFunc
+	senderAddresses map[quorum.ID]string
+	stopped         bool
+	wait            sync.WaitGroup
+	ctx             context.Context
+	cancel          context.CancelFunc
 }
 
 type peer struct {
-	address string
-	http    *http.Client
-	client  *rpc.Client
-	queue   sendQueue
-	wake    chan struct{}
+	address    string
+	httpClient *http.Client
+	client     *rpc.Client
+	queue      sendQueue
+	wake       chan struct{}
 }
 
 func newTransport(config Config, self Member, lost func(group uint32, to quorum.ID)) *transport {
@@ -96,9 +96,9 @@
 		newPeer = func() *http.Client { return config.Client }
 	}
 	return &transport{
-		client: rpc.NewClient(config.Client), newPeer: newPeer, self: self, logger: config.Logger, lost: lost,
-		timeout: config.electionTimeout() / callsPerElection,
-		peers:   map[string]*peer{}, heard: map[quorum.ID]string{}, ctx: ctx, cancel: cancel,
+		client: rpc.NewClient(config.Client), newPeer: newPeer, self: self, logger: config.Logger, onLost: lost,
+		timeout: config.electionTimeout() / callsPerElectionTimeout,
+		peers:   map[string]*peer{}, senderAddresses: map[quorum.ID]string{}, ctx: ctx, cancel: cancel,
 	}
 }
 
@@ -117,13 +117,13 @@
 	defer t.mu.Unlock()
 	for _, o := range all {
 		for _, m := range o.messages {
-			t.queue(o, m)
+			t.enqueue(o, m)
 		}
 	}
 }
 
-// queue adds one message. The mutex is held.
-func (t *transport) queue(o outbound, m quorum.Message) {
+// enqueue adds one message. The mutex is held.
+func (t *transport) enqueue(o outbound, m quorum.Message) {
 	address := t.address(o.members, m.To)
 	if address == "" || t.stopped {
 		return
@@ -137,7 +137,7 @@
 }
 
 func (t *transport) address(members quorum.Membership, to quorum.ID) string {
-	if address := t.heard[to]; address != "" {
+	if address := t.senderAddresses[to]; address != "" {
 		return address
 	}
 	member, _ := members.Find(to)
@@ -150,11 +150,11 @@
 	return t.address(members, to)
 }
 
-// hear notes where a member can be answered.
-func (t *transport) hear(id quorum.ID, address string) {
+// recordAddress notes where a member can be answered.
+func (t *transport) recordAddress(id quorum.ID, address string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.heard[id] = address
+	t.senderAddresses[id] = address
 }
 
 // peer gives the sender to an address. The mutex is held.
@@ -162,7 +162,7 @@
 	p := t.peers[address]
 	if p == nil {
 		client := t.newPeer()
-		p = &peer{address: address, http: client, client: rpc.NewClient(client), wake: make(chan struct{}, 1)}
+		p = &peer{address: address, httpClient: client, client: rpc.NewClient(client), wake: make(chan struct{}, 1)}
 		t.peers[address] = p
 		t.wait.Go(func() { t.run(p) })
 	}
@@ -178,13 +178,13 @@
 		case <-p.wake:
 		}
 		for {
-			next := t.take(p)
+			next := t.nextBatch(p)
 			if len(next.Envelopes) == 0 {
 				break
 			}
-			err := t.call(p, &next)
+			err := t.sendBatch(p, &next)
 			if err != nil {
-				t.reportLost(&next)
+				t.reportLostAppends(&next)
 			}
 			if (err == nil) != reachable {
 				reachable = err == nil
@@ -194,36 +194,36 @@
 	}
 }
 
-func (t *transport) call(p *peer, next *batch) error {
+func (t *transport) sendBatch(p *peer, next *batch) error {
 	size := 0
 	for i := range next.Envelopes {
 		size += next.Envelopes[i].size()
 	}
-	ctx, cancel := context.WithTimeout(t.ctx, t.timeout+time.Duration(size)*time.Second/slowestLink)
+	ctx, cancel := context.WithTimeout(t.ctx, t.timeout+time.Duration(size)*time.Second/minLinkRate)
 	defer cancel()
 	_, err := rpc.Call(ctx, p.client, p.address, procedureMessages, next)
 	if err != nil {
 		// A call that is given up closes its own HTTP/1 connection. The idle
 		// ones beside it may have gone silent with it.
-		p.http.CloseIdleConnections()
+		p.httpClient.CloseIdleConnections()
 	}
 	return err
 }
 
-// reportLost says which members may lack an append. What they were sent after it
+// reportLostAppends says which members may lack an append. What they were sent after it
 // is of no use to them, and their silence would show that only later.
-func (t *transport) reportLost(lost *batch) {
+func (t *transport) reportLostAppends(lost *batch) {
 	for i := range lost.Envelopes {
 		if e := &lost.Envelopes[i]; e.Message.Type == quorum.MsgAppend {
-			t.lost(e.Group, e.Message.To)
+			t.onLost(e.Group, e.Message.To)
 		}
 	}
 }
 
-func (t *transport) take(p *peer) batch {
+func (t *transport) nextBatch(p *peer) batch {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return batch{From: t.self.ID, Address: t.self.Address, Envelopes: p.queue.take()}
+	return batch{From: t.self.ID, Address: t.self.Address, Envelopes: p.queue.takeBatch()}
 }
 
 func (t *transport) stop() {
--- a/internal/replica/waiting.go
+++ b/internal/replica/waiting.go
@@ -31,12 +31,12 @@
 	}
 }
 
-// giveUpWaiting ends the waits of a member that no longer leads. An entry that
+// failStaleWaiters ends the waits of a member that no longer leads. An entry that
 // was proposed here may still be committed by the next leader, so its proposer
 // first gets an election timeout in which to learn that.
-func (g *group) giveUpWaiting() {
+func (g *group) failStaleWaiters() {
 	if g.node.IsLeader() {
-		g.lostLead = 0
+		g.ticksSinceLeadership = 0
 		return
 	}
 	for id, waiting := range g.reads {
@@ -44,11 +44,11 @@
 		delete(g.reads, id)
 	}
 	if len(g.proposals) == 0 {
-		g.lostLead = 0
+		g.ticksSinceLeadership = 0
 		return
 	}
-	g.lostLead++
-	if g.lostLead > g.host.config.ElectionTicks {
+	g.ticksSinceLeadership++
+	if g.ticksSinceLeadership > g.host.config.ElectionTicks {
 		g.failProposals(errLeadershipLost)
 	}
 }
@@ -132,8 +132,8 @@
 	if err := g.host.stopped(); err != nil {
 		return 0, nil, err
 	}
-	g.nextRead++
-	id := g.nextRead
+	g.lastReadID++
+	id := g.lastReadID
 	waiting := &read{done: make(chan error, 1)}
 	g.reads[id] = waiting
 	if err := g.node.Read(id); err != nil {
