--- a/internal/replica/bootstrap.go
+++ b/internal/replica/bootstrap.go
@@ -16,42 +16,44 @@
 )
 
 const (
-	// minHelloInterval is how often a VM that may found the groups looks for the
-	// others, and where all other blank members begin; they are less and less in
-	// haste, up to maxHelloInterval.
+	// minHelloInterval is the interval between hello rounds of a VM that may bootstrap
+	// the groups. Other blank members (members with an empty data folder) start with
+	// it and back off to maxHelloInterval.
 	minHelloInterval = 300 * time.Millisecond
 	maxHelloInterval = 2 * time.Second
 	helloTimeout     = time.Second
-	// seedRoundInterval is how many rounds lie between two in which a blank member that
-	// knows leaders asks its seeds as well.
+	// seedRoundInterval is the number of rounds after which a blank member that
+	// already knows leaders also contacts its seeds again.
 	seedRoundInterval = 4
 )
 
-// helloRequest introduces a member that is in no group yet.
+// helloRequest introduces a member that does not belong to a group yet.
 type helloRequest struct {
 	Member quorum.Member `cbor:"1,keyasint"`
-	// Blank says that the member holds nothing of any group.
+	// Blank reports that the member holds no data of any group.
 	Blank bool `cbor:"2,keyasint,omitempty"`
 }
 
-// helloResponse says who answers and what it knows of the groups.
+// helloResponse identifies the responding member and describes what it knows of the
+// groups.
 type helloResponse struct {
 	Member quorum.Member `cbor:"1,keyasint"`
-	// HasGroups says that the answering member holds a group's membership.
+	// HasGroups reports that the responding member holds the membership of a group.
 	HasGroups bool `cbor:"2,keyasint,omitempty"`
-	// Initial is the membership that the groups began with, if known here.
+	// Initial is the membership that the groups were bootstrapped with, if known here.
 	Initial *quorum.Membership `cbor:"3,keyasint,omitempty"`
 	// Current is the membership of group 0 as known here.
 	Current quorum.Membership `cbor:"4,keyasint"`
-	Voters  []string          `cbor:"5,keyasint"` // VMs of its settings, sorted
-	// Leads and Term are those of group 0.
+	Voters  []string          `cbor:"5,keyasint"` // voter VMs in its settings, sorted
+	// Leads and Term describe group 0.
 	Leads bool   `cbor:"6,keyasint,omitempty"`
 	Term  uint64 `cbor:"7,keyasint,omitempty"`
-	// Contacts are the addresses of those who take blank members in: of each
-	// group its leader or, if none is known here, its members.
+	// Contacts are the addresses of the members that accept blank members: for each
+	// group its leader or, if none is known here, all its members.
 	Contacts []string `cbor:"8,keyasint,omitempty"`
 }
 
+// loadInitial reads the initial membership from the data folder, if there is one.
 func (h *Host) loadInitial() error {
 	var record initialRecord
 	found, err := readRecord(filepath.Join(h.config.Folder, initialFile), &record)
@@ -59,7 +61,7 @@
 		return err
 	}
 	if record.Groups != h.config.Groups {
-		return fmt.Errorf("the settings name %d groups, the data folder holds %d; the number cannot be changed", h.config.Groups, record.Groups)
+		return fmt.Errorf("the settings configure %d groups but the data folder holds %d; the number cannot be changed after bootstrap, restore the previous setting", h.config.Groups, record.Groups)
 	}
 	h.initial = &record
 	return nil
@@ -85,14 +87,14 @@
 	return slices.ContainsFunc(h.groups, func(g *group) bool { return !g.blank() })
 }
 
-// Known gives the members of all groups, this one included, and the blank
-// members that wait to be taken in, by address, as far as this VM knows them.
+// MembersAndCandidates returns the members of all groups, including this one, and the
+// blank members that wait to join, sorted by address, as far as this VM knows them.
 func (h *Host) Known() []quorum.Member {
 	return uniqueByAddress(append(h.Members(), h.recentCandidates()...))
 }
 
-// Members gives the members of all groups and this VM, by address, as far as this
-// VM knows them.
+// Members returns this member and the members of all groups, sorted by address, as far
+// as this VM knows them.
 func (h *Host) Members() []quorum.Member {
 	members := []quorum.Member{h.selfMember()}
 	for id := range h.Groups() {
@@ -101,7 +103,7 @@
 	return uniqueByAddress(members)
 }
 
-// uniqueByAddress sorts members, each address once.
+// uniqueByAddress sorts members by address and removes duplicate addresses.
 func uniqueByAddress(members []quorum.Member) []quorum.Member {
 	slices.SortFunc(members, func(a, b quorum.Member) int { return cmp.Compare(a.Address, b.Address) })
 	return slices.CompactFunc(members, func(a, b quorum.Member) bool { return a.Address == b.Address })
@@ -113,7 +115,7 @@
 	return g.node.Membership()
 }
 
-// contacts gives those who take blank members in.
+// contacts returns the addresses of the members that accept blank members.
 func (h *Host) contacts() []string {
 	var addresses []string
 	for _, g := range h.groups {
@@ -167,12 +169,12 @@
 	}, nil
 }
 
-// runJoin brings a blank member into the groups: by bootstrap when they do not
-// exist anywhere, else by making itself known as a replacement.
+// runJoin adds a blank member to the groups: by bootstrap if the groups exist nowhere,
+// otherwise by announcing itself as a replacement candidate.
 //
-// It goes on while a group's log is empty, even if a leader was heard: an initial
-// member with an empty log votes for nobody, and if that leader were lost before it
-// has sent the log, the other members could not elect one without it.
+// It continues while the log of a group is empty, even after contact from a leader: an
+// initial member with an empty log votes for nobody, so if that leader failed before
+// it sent the log, the other members could not elect a new one without this member.
 func (h *Host) runJoin() {
 	interval := minHelloInterval
 	var contacts []string
@@ -196,16 +198,18 @@
 		case <-time.After(interval/2 + rand.N(interval)):
 		}
 	}
-	h.logger.Info("member of the groups", zap.Stringer("id", h.self.ID))
+	h.logger.Info("joined the groups", zap.Stringer("id", h.self.ID))
 }
 
-// anyInitial says whether an answer holds the membership that the groups began with.
-// decideInitial lets a member take it over only if it is among them.
+// anyInitial reports whether a response contains the membership that the groups were
+// bootstrapped with. decideInitial lets a member adopt it only if it includes that
+// member.
 func anyInitial(answers []helloResponse) bool {
 	return slices.ContainsFunc(answers, func(answer helloResponse) bool { return answer.Initial != nil })
 }
 
-// mayBootstrap says whether this VM is one of those that begin the groups together.
+// mayBootstrap reports whether this VM is one of those that bootstrap the groups
+// together.
 func (h *Host) mayBootstrap() bool {
 	if len(h.config.Seeds) == 0 {
 		return slices.ContainsFunc(h.config.Voters, func(v Voter) bool { return v.VM == h.config.VM })
@@ -213,10 +217,11 @@
 	return h.config.Found && slices.Contains(h.config.Seeds, h.self.Address)
 }
 
-// helloTargets gives the addresses to introduce this member to. A founder needs the
-// answers of all others; anyone else, once it knows them, only who takes it in:
-// dozens of spares that greet all members and each other would keep the VMs that
-// settings name from founding the groups.
+// helloTargets returns the addresses to which this member introduces itself. A VM that
+// may bootstrap needs the responses of all others. Any other VM contacts only the
+// members that accept it, once it knows them: dozens of standby VMs that contacted
+// every member and each other would keep the configured VMs from bootstrapping the
+// groups.
 func (h *Host) helloTargets(round int, contacts []string) []string {
 	if len(contacts) > 0 && !h.mayBootstrap() && round%seedRoundInterval != 0 {
 		return contacts
@@ -229,7 +234,7 @@
 	return slices.DeleteFunc(slices.Compact(addresses), func(address string) bool { return address == h.self.Address })
 }
 
-// contactsOf gives the contacts that answers name.
+// contactsOf returns the contacts listed in the responses.
 func contactsOf(answers []helloResponse, self string) []string {
 	var addresses []string
 	for _, answer := range answers {
@@ -239,8 +244,9 @@
 	return slices.DeleteFunc(slices.Compact(addresses), func(address string) bool { return address == self })
 }
 
-// helloAll introduces this member at all addresses at once, and to the contacts
-// among the answers that are not among these, and gives the answers.
+// helloAll introduces this member to all addresses concurrently and returns the
+// responses. It also introduces the member to contacts in the responses that are not
+// among the addresses, without waiting for them.
 func (h *Host) helloAll(addresses []string) []helloResponse {
 	results := make(chan *helloResponse, len(addresses))
 	request := helloRequest{Member: h.selfMember(), Blank: true}
@@ -271,15 +277,15 @@
 	return answer
 }
 
-// decideInitialFromVoters says with which membership a blank member begins, if it may.
+// decideInitialFromVoters returns the membership with which a blank member starts, and
+// whether it may start.
 //
-// One member only, the first of the settings' list by name, chooses it, and
-// only when every other one has answered and none holds a group. So a disk that
-// was lost and comes back blank can never begin a second group beside the one
-// that the others hold: any of them would have to say that it has none. The
-// others take over the choice, which they find by asking, if it names them by
-// their disk; a disk that was replaced after the choice is not named, and joins
-// as a replacement.
+// Only one member, the first by name in the list of voters, chooses the membership,
+// and only after all others have responded and none of them holds a group. A lost disk
+// that comes back blank therefore never bootstraps a second group beside an existing
+// one: at least one other member would report the existing group. The others adopt the
+// choice, which they learn from hello responses, if it lists the ID of their disk. A
+// disk that was replaced after the choice is not listed and joins as a replacement.
 func decideInitialFromVoters(self quorum.Member, voters []Voter, answers []helloResponse) (quorum.Membership, bool) {
 	members := []quorum.Member{self}
 	names := make([]string, len(voters))
@@ -313,14 +319,14 @@
 	return decideInitialFromVoters(h.selfMember(), h.config.Voters, answers)
 }
 
-// decideInitialFromSeeds says with which membership a blank member begins that knows
-// seeds only, if it may.
+// decideInitialFromSeeds returns the membership with which a blank member that knows
+// only seeds starts, and whether it may start.
 //
-// The VM at the lowest of the seeds' addresses chooses, once, when those at all
-// of them have answered and none holds a group; the others take the choice over
-// if it names their disks. A VM that starts later, or comes back with a blank
-// disk, is not told to found: if it could, its group would stand beside the one
-// that the others hold, and both would acknowledge changes.
+// The VM at the lowest seed address chooses once, after the members at all seed
+// addresses have responded and none of them holds a group. The others adopt the choice
+// if it lists their disk. A VM that starts later, or returns with a blank disk, is not
+// configured to bootstrap: otherwise its group could exist beside the one that the
+// others hold, and both would acknowledge changes.
 func decideInitialFromSeeds(self quorum.Member, seeds []string, found bool, answers []helloResponse) (quorum.Membership, bool) {
 	members := map[string]quorum.Member{self.Address: self}
 	for _, answer := range answers {
@@ -336,18 +342,18 @@
 	if !found || slices.Min(seeds) != self.Address {
 		return quorum.Membership{}, false
 	}
-	var founders []quorum.Member
+	var initial []quorum.Member
 	for _, seed := range seeds {
 		member, answered := members[seed]
 		if !answered {
 			return quorum.Membership{}, false
 		}
-		founders = append(founders, member)
+		initial = append(initial, member)
 	}
-	return quorum.NewMembership(founders...), true
+	return quorum.NewMembership(initial...), true
 }
 
-// adoptInitial syncs the membership before the first vote can be given.
+// adoptInitial persists the initial membership before this member can vote.
 func (h *Host) adoptInitial(initial quorum.Membership) error {
 	record := initialRecord{Groups: h.config.Groups, Membership: initial}
 	if err := writeRecord(filepath.Join(h.config.Folder, initialFile), record); err != nil {
@@ -362,7 +368,7 @@
 	return nil
 }
 
-// adoptInitial begins the group unless its leader was faster.
+// adoptInitial bootstraps the group, unless its leader has already sent state.
 func (g *group) adoptInitial() {
 	initial := g.host.initialMembership()
 	g.mu.Lock()
--- a/internal/replica/config.go
+++ b/internal/replica/config.go
@@ -12,39 +12,41 @@
 	"slateway.example/slateway/internal/wal"
 )
 
-// Voter is an initial member of the groups as the settings name it. Its disk is
-// learned when the group is bootstrapped.
+// Voter is an initial member of the groups as listed in the settings. The ID of its
+// disk is learned at bootstrap.
 type Voter struct {
 	VM      string
 	Address string // peer address, IP and port
 }
 
-// Config of a Host. Zero values of the optional fields take the defaults.
+// Config configures a Host. Optional fields with a zero value take their defaults.
 type Config struct {
 	VM      string
 	Address string // where the other members reach this one, IP and port
-	Folder  string // data folder of this VM; nobody else writes to it
-	// Voters are the initial members, the same list on every VM. A VM that is
-	// not among them is a spare: it joins only in place of a lost member.
+	Folder  string // data folder of this VM; no other process writes to it
+	// Voters are the initial members, the same list on every VM. A VM that is not
+	// listed is a standby: it joins only to replace a lost member.
 	Voters []Voter
-	// Seeds are addresses of a few members, for a VM that is not told who the
-	// others are. With Found, the VMs at these addresses begin the groups
-	// together; any other VM, and every VM without Found, only joins. Voters is
-	// empty then.
+	// Seeds are the addresses of a few members, for a VM that is not configured with
+	// the list of voters; Voters is empty then. With Bootstrap, the VMs at these
+	// addresses bootstrap the groups together. Any other VM, and every VM without
+	// Bootstrap, only joins.
 	Seeds []string
 	Found bool
-	// Class is this VM's kind. Preferred gives the class of which a group's members
-	// are taken as far as there are any; nil: no group prefers one.
+	// Class is the kind of this VM. PreferredClass returns the class from which the
+	// members of a group are chosen while any are available; nil: no group prefers a
+	// class.
 	Class     string
 	Preferred func(group uint32) string
-	// TargetVoters is how many voters the groups grow to as VMs join; zero: as
-	// many as Voters.
+	// TargetVoters is the number of voters that the groups grow to as VMs join; zero:
+	// the number of Voters.
 	TargetVoters int
-	// LeastVoters stay when a VM is retired and none can take its place.
+	// MinVoters is the number of voters that remain in a group when a VM is retired
+	// without a replacement.
 	LeastVoters int
 	Groups      uint32
-	// NewMachine makes the state machine of a group, which keeps its files in
-	// folder. Restore is called before anything else.
+	// NewStateMachine creates the state machine of a group, which keeps its files in
+	// folder. Restore is called before any other method.
 	NewMachine func(group uint32, folder string) (Machine, error)
 
 	Tick           time.Duration // 50 ms
@@ -52,37 +54,38 @@
 	ElectionTicks  int           // 12; elections start after 12 to 24 ticks
 
 	SnapshotEntries uint64 // entries between snapshots of a group; 10,000
-	SnapshotBytes   int64  // bytes of entries between them; 16 MiB
-	KeepEntries     uint64 // stay in memory behind a snapshot, for members that lag a little; 1,000
-	MaxProposals    int    // waiting in one group; 8,192
-	TransferRate    int64  // bytes a second of snapshots sent; 32 MiB
-
-	// ReplaceAfter is how long a voter must be unheard before a blank disk of
-	// its VM, or a spare, takes its place. Zero leaves it to the operator.
+	SnapshotBytes   int64  // bytes of entries between snapshots; 16 MiB
+	KeepEntries     uint64 // entries kept in memory before a snapshot, for members that lag slightly; 1,000
+	MaxProposals    int    // pending proposals per group; 8,192
+	TransferRate    int64  // bytes per second of outgoing snapshots; 32 MiB
+
+	// ReplaceAfter is the time without contact after which a voter is replaced by a
+	// standby. A blank disk on a voter's own VM replaces it without this delay. Zero
+	// disables automatic replacement: the operator replaces members.
 	ReplaceAfter time.Duration
 
-	// SyncEach gives each entry a sync of its own instead of group commit, to
-	// measure against.
+	// SyncEach syncs each entry separately instead of using group commit, as a
+	// baseline for measurements.
 	SyncEach bool
 
 	Logger  *zap.Logger
 	Metrics *telemetry.Metrics
 	Client  *http.Client // for calls to the other members
-	// PeerClient makes a client for the agreement's messages to one member; nil:
-	// they go through Client. Connections of one that does not answer are then
-	// given up without those to the others.
+	// PeerClient creates a client for the consensus messages to one member; nil: they
+	// use Client. With a client per member, dropping the connections of an
+	// unresponsive member leaves those to the others open.
 	PeerClient func() *http.Client
 	WAL        wal.Options
 }
 
-// Names of the metrics of a host.
+// Metric names of a host.
 const (
 	metricSync          = "quorum.sync"           // latency of a write to the log
-	metricElected       = "quorum.elected"        // times this VM came to lead a group
-	metricDeposed       = "quorum.deposed"        // times it ceased to
-	metricSnapshots     = "quorum.snapshots"      // taken here
-	metricTransfers     = "quorum.transfers"      // snapshots sent to other members
-	metricTransferFails = "quorum.transfer_fails" // snapshots that did not arrive
+	metricElected       = "quorum.elected"        // times this VM became leader of a group
+	metricDeposed       = "quorum.deposed"        // times this VM lost leadership of a group
+	metricSnapshots     = "quorum.snapshots"      // snapshots taken on this VM
+	metricTransfers     = "quorum.transfers"      // snapshot transfers to other members
+	metricTransferFails = "quorum.transfer_fails" // snapshot transfers that failed
 )
 
 const (
@@ -98,8 +101,8 @@
 	maxAppendBytes  = 512 << 10
 	maxInflight     = 16
 	maxProposalSize = 10 << 20
-	// maxKeptEntries bounds the memory that a slow member costs the leader; one
-	// that falls further behind takes a snapshot.
+	// maxKeptEntries bounds the memory that a slow member costs the leader; a member
+	// that lags further behind receives a snapshot.
 	maxKeptEntries = 200_000
 )
 
@@ -145,12 +148,12 @@
 	case c.Groups == 0 || c.NewMachine == nil:
 		return fmt.Errorf("replica: at least one group and its state machine must be set")
 	case len(c.Voters) == 0 && len(c.Seeds) == 0:
-		return fmt.Errorf("replica: neither initial voters nor seeds are listed")
+		return fmt.Errorf("replica: no initial voters and no seeds configured; set one of them")
 	}
 	seen := map[string]bool{}
 	for _, voter := range c.Voters {
 		if seen[voter.VM] {
-			return fmt.Errorf("replica: VM %s stands twice in the list of initial voters", voter.VM)
+			return fmt.Errorf("replica: VM %s is listed twice as an initial voter; remove the duplicate", voter.VM)
 		}
 		seen[voter.VM] = true
 	}
@@ -164,7 +167,7 @@
 	return c.Preferred(group)
 }
 
-// targetVoters is how many voters the groups shall have.
+// targetVoters returns the number of voters that the groups should have.
 func (c Config) targetVoters() int {
 	if c.TargetVoters > 0 {
 		return c.TargetVoters
@@ -172,7 +175,8 @@
 	return len(c.Voters)
 }
 
-// contacts are the addresses that a member asks before it knows the others.
+// contacts returns the addresses that a member contacts before it knows the other
+// members.
 func (c Config) contacts() []string {
 	addresses := slices.Clone(c.Seeds)
 	for _, voter := range c.Voters {
@@ -183,7 +187,7 @@
 	return slices.DeleteFunc(addresses, func(address string) bool { return address == c.Address })
 }
 
-// electionTimeout is the shortest time without a leader before an election.
+// electionTimeout returns the shortest time without a leader before an election.
 func (c Config) electionTimeout() time.Duration {
 	return time.Duration(c.ElectionTicks) * c.Tick
 }
--- a/internal/replica/disk.go
+++ b/internal/replica/disk.go
@@ -16,7 +16,7 @@
 	"slateway.example/slateway/internal/wal"
 )
 
-// Names in the data folder.
+// Names of files and folders in the data folder.
 const (
 	lockFile    = "lock"
 	diskFile    = "disk"
@@ -25,22 +25,22 @@
 	groupFolder = "groups"
 )
 
-// diskRecord identifies a disk. It is made when a VM first starts on it.
+// diskRecord identifies a disk. It is created when a VM first starts on the disk.
 type diskRecord struct {
 	ID string `cbor:"1,keyasint"`
 }
 
-// initialRecord is the membership that the groups began with. It is synced
-// before the first vote.
+// initialRecord holds the membership that the groups were bootstrapped with. It is
+// synced before the first vote.
 type initialRecord struct {
 	Groups     uint32            `cbor:"1,keyasint"`
 	Membership quorum.Membership `cbor:"2,keyasint"`
 }
 
-// memberID derives the identity of a member from its VM and its disk. A blank
-// disk gets a new disk ID and so is another member: if it voted as the old one,
-// which promised votes and entries that the new disk does not hold, a committed
-// change could be lost or two leaders elected in one term.
+// memberID derives the identity of a member from its VM and its disk. A blank disk
+// gets a new disk ID and is therefore a different member. If it voted under the old
+// identity, which has granted votes and acknowledged entries that the new disk does
+// not hold, a committed change could be lost or two leaders elected in one term.
 func memberID(vm, disk string) quorum.ID {
 	id := quorum.ID(xxhash.Sum64String(vm + "\x00" + disk))
 	if id == quorum.None {
@@ -49,10 +49,11 @@
 	return id
 }
 
-// lockFolder keeps a second process off the data folder until this one ends.
+// lockFolder prevents a second process from using the data folder until this process
+// ends.
 func lockFolder(folder string) (*os.File, error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
-		return nil, fmt.Errorf("make the data folder: %w", err)
+		return nil, fmt.Errorf("create the data folder: %w", err)
 	}
 	file, err := os.OpenFile(filepath.Join(folder, lockFile), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -65,7 +66,7 @@
 	return file, nil
 }
 
-// loadDisk reads the disk's ID or makes one on a blank disk.
+// loadDisk reads the disk's ID, or creates one on a blank disk.
 func loadDisk(folder string) (string, error) {
 	path := filepath.Join(folder, diskFile)
 	var record diskRecord
@@ -77,13 +78,13 @@
 		return record.ID, nil
 	}
 	if _, err := os.Stat(filepath.Join(folder, logFolder)); err == nil {
-		return "", fmt.Errorf("%s is missing beside a log; empty the data folder and replace this member", path)
+		return "", fmt.Errorf("%s is missing although the data folder holds a log; empty the data folder and replace this member", path)
 	}
 	record.ID = uuid.NewString()
 	return record.ID, writeRecord(path, record)
 }
 
-// readRecord decodes the file at path into record; false if there is none.
+// readRecord decodes the file at path into record and reports whether the file exists.
 func readRecord(path string, record any) (bool, error) {
 	data, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -93,13 +94,13 @@
 		return false, fmt.Errorf("read %s: %w", path, err)
 	}
 	if err := codec.Unmarshal(data, record); err != nil {
-		return false, fmt.Errorf("%s is damaged, replace this member: %w", path, err)
+		return false, fmt.Errorf("%s is damaged; empty the data folder and replace this member: %w", path, err)
 	}
 	return true, nil
 }
 
-// writeRecord replaces the file at path so that a crash leaves either the old
-// or the new one, whole.
+// writeRecord replaces the file at path atomically: after a crash it holds either the
+// complete old record or the complete new one.
 func writeRecord(path string, record any) error {
 	data, err := codec.Marshal(record)
 	if err != nil {
--- a/internal/replica/errors.go
+++ b/internal/replica/errors.go
@@ -6,7 +6,7 @@
 	"slateway.example/slateway/internal/apierr"
 )
 
-// Reasons of the errors of this package.
+// Error reasons of this package.
 const (
 	ReasonNotLeader      apierr.Reason = "not_leader"
 	ReasonOutcomeUnknown apierr.Reason = "outcome_unknown"
@@ -14,9 +14,9 @@
 	ReasonOverloaded     apierr.Reason = "proposals_full"
 )
 
-// NotLeaderError says that this VM does not lead the group. Nothing was
-// proposed: the call is safe to repeat at Address. An empty address means that
-// no leader is known; come back after an election timeout.
+// NotLeaderError reports that this VM does not lead the group. Nothing was proposed:
+// the call can safely be repeated at Address. An empty address means that no leader is
+// known; retry after an election timeout.
 type NotLeaderError struct {
 	Group   uint32
 	Leader  Member
@@ -25,27 +25,27 @@
 
 func (e *NotLeaderError) Error() string {
 	if e.Address == "" {
-		return fmt.Sprintf("group %d has no known leader; ask again after an election timeout", e.Group)
+		return fmt.Sprintf("group %d has no known leader; retry after an election timeout", e.Group)
 	}
-	return fmt.Sprintf("group %d is led by %s; ask %s", e.Group, e.Leader.VM, e.Address)
+	return fmt.Sprintf("group %d is led by %s; send the call to %s", e.Group, e.Leader.VM, e.Address)
 }
 
-// OutcomeUnknownError says that an entry was proposed and that this VM cannot
-// tell whether it is committed: leadership was lost or the caller gave up.
+// OutcomeUnknownError reports that an entry was proposed but this VM does not know
+// whether it is committed: it lost leadership, or the caller's context ended.
 type OutcomeUnknownError struct {
 	Group uint32
 	Cause error
 }
 
 func (e *OutcomeUnknownError) Error() string {
-	return fmt.Sprintf("outcome of a change in group %d is unknown: %v; read the state before repeating it", e.Group, e.Cause)
+	return fmt.Sprintf("outcome of a change in group %d is unknown: %v; read the state before retrying it", e.Group, e.Cause)
 }
 
 func (e *OutcomeUnknownError) Unwrap() error { return e.Cause }
 
-// StoppedError says that the host has stopped for good. Nothing was proposed.
+// StoppedError reports that the host has stopped permanently. Nothing was proposed.
 type StoppedError struct {
-	Cause error // nil after an ordinary stop; a disk failure otherwise
+	Cause error // nil after a regular stop, otherwise the disk failure
 }
 
 func (e *StoppedError) Error() string {
@@ -57,37 +57,38 @@
 
 func (e *StoppedError) Unwrap() error { return e.Cause }
 
-// OverloadedError says that too many proposals of the group wait already.
-// Nothing was proposed.
+// OverloadedError reports that the group already has the maximum number of pending
+// proposals. Nothing was proposed.
 type OverloadedError struct {
 	Group uint32
 	Limit int
 }
 
 func (e *OverloadedError) Error() string {
-	return fmt.Sprintf("group %d has %d proposals waiting; ask again later", e.Group, e.Limit)
+	return fmt.Sprintf("group %d has reached its limit of %d pending proposals; retry later", e.Group, e.Limit)
 }
 
-// As lets the API errors be found by errors.As: services pass errors of this
-// package on unchanged.
+// As makes the API error available to errors.As, because services return errors of
+// this package unchanged.
 func (e *NotLeaderError) As(target any) bool {
 	return setAPIError(target, apierr.New(apierr.Unavailable, ReasonNotLeader, "ask the keeper that leads the group", "%s", e.Error()))
 }
 
-// As gives the API error; the change may have been made.
+// As makes the API error available to errors.As; it states that the change may have
+// been applied.
 func (e *OutcomeUnknownError) As(target any) bool {
-	known := apierr.New(apierr.Unavailable, ReasonOutcomeUnknown, "send the change again with the same ID", "%s", e.Error())
+	known := apierr.New(apierr.Unavailable, ReasonOutcomeUnknown, "retry the change with the same ID", "%s", e.Error())
 	return setAPIError(target, known.WithRan(apierr.RanUnknown))
 }
 
-// As gives the API error.
+// As makes the API error available to errors.As.
 func (e *StoppedError) As(target any) bool {
 	return setAPIError(target, apierr.New(apierr.Unavailable, ReasonStopped, "ask another keeper", "%s", e.Error()))
 }
 
-// As gives the API error.
+// As makes the API error available to errors.As.
 func (e *OverloadedError) As(target any) bool {
-	return setAPIError(target, apierr.New(apierr.Overloaded, ReasonOverloaded, "come back later", "%s", e.Error()))
+	return setAPIError(target, apierr.New(apierr.Overloaded, ReasonOverloaded, "retry later", "%s", e.Error()))
 }
 
 func setAPIError(target any, known *apierr.Error) bool {
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -16,8 +16,8 @@
 	"slateway.example/slateway/internal/wal"
 )
 
-// group is one replicated group on this VM. Its mutex guards the decision and
-// the callers that wait; the machine belongs to the goroutine of run.
+// group is one replicated group on this VM. Its mutex guards the consensus node and
+// the waiting callers; only the goroutine of run uses the state machine.
 type group struct {
 	host    *Host
 	id      uint32
@@ -31,22 +31,22 @@
 	proposals            map[uint64]*proposal // by index
 	reads                map[uint64]*read     // by ID
 	lastReadID           uint64
-	wasLeader            bool      // as last counted
-	ticksSinceLeadership int       // ticks since leadership was lost with proposals waiting
-	syncSince            time.Time // start of the sync that is running
+	wasLeader            bool      // leadership as last reported to metrics and the log
+	ticksSinceLeadership int       // ticks since leadership was lost with proposals pending
+	syncSince            time.Time // start of the running sync; zero if none is running
 	pendingReplacement   *replacement
 	counters             groupCounters
-	sending              map[quorum.ID]uint64 // index of the snapshot that is on its way to a member
+	sending              map[quorum.ID]uint64 // index of the snapshot that is being sent to each member
 
 	staging staging
 
-	// Of the goroutine of run only.
+	// Used only by the goroutine of run.
 	entriesSinceSnapshot uint64 // entries applied since the last snapshot
 	bytesSinceSnapshot   int64
 	lastSnapshot         storedSnapshot // newest snapshot
 }
 
-// groupCounters are figures for Status.
+// groupCounters holds figures that Status reports.
 type groupCounters struct {
 	snapshotIndex uint64
 	snapshotBytes int
@@ -54,35 +54,35 @@
 
 func openGroup(h *Host, id uint32) (*group, error) {
 	folder := filepath.Join(h.config.Folder, groupFolder, strconv.FormatUint(uint64(id), 10))
-	held, err := openStore(folder)
+	s, err := openStore(folder)
 	if err != nil {
 		return nil, err
 	}
-	stored, err := held.load()
+	stored, err := s.load()
 	if err != nil {
 		return nil, err
 	}
-	if err := held.truncateFiles(stored.Files); err != nil {
+	if err := s.truncateFiles(stored.Files); err != nil {
 		return nil, err
 	}
-	machine, err := h.config.NewMachine(id, held.path(filesFolder))
+	machine, err := h.config.NewMachine(id, s.path(filesFolder))
 	if err != nil {
-		return nil, fmt.Errorf("make the state machine of group %d: %w", id, err)
+		return nil, fmt.Errorf("create the state machine of group %d: %w", id, err)
 	}
 	if err := machine.Restore(Snapshot{State: stored.State, Files: stored.Files}); err != nil {
 		return nil, fmt.Errorf("restore group %d: %w", id, err)
 	}
 	return &group{
-		host: h, id: id, store: held, machine: machine, lastSnapshot: stored,
+		host: h, id: id, store: s, machine: machine, lastSnapshot: stored,
 		wake:      make(chan struct{}, 1),
 		proposals: map[uint64]*proposal{},
 		reads:     map[uint64]*read{},
 		sending:   map[quorum.ID]uint64{},
-		staging:   staging{folder: held.path(incomingFolder)},
+		staging:   staging{folder: s.path(incomingFolder)},
 	}, nil
 }
 
-// startNode makes the decision from what the disk holds.
+// startNode creates the consensus node from the recovered log and snapshot.
 func (g *group) startNode(found *recoveredLog) error {
 	meta := g.lastSnapshot.Meta
 	if meta.Index == 0 && g.host.initial != nil {
@@ -108,7 +108,7 @@
 	}
 }
 
-// blank says whether this member holds nothing of the group.
+// blank reports whether this member holds no data of the group.
 func (g *group) blank() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -116,14 +116,15 @@
 	return s.Last == 0 && s.Term == 0
 }
 
-// logEmpty says whether this member holds nothing of the group's log. Unlike a blank
-// one it may have heard of a term.
+// logEmpty reports whether this member's log of the group is empty. Unlike a blank
+// member, it may have learned a term.
 func (g *group) logEmpty() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.node.Empty()
 }
 
+// signal wakes the goroutine of run.
 func (g *group) signal() {
 	select {
 	case g.wake <- struct{}{}:
@@ -131,12 +132,13 @@
 	}
 }
 
-// flush hands on what waits for no disk. The caller holds the mutex.
+// flush sends the pending messages that need no disk sync. The caller holds the mutex.
 func (g *group) flush() { g.host.transport.send(g.drain()) }
 
-// drain does the same but leaves the messages to its caller to send, all but
-// the appends: sent outside the mutex, one could overtake the one before it, and
-// the member would have to reject it.
+// drain processes the pending output of the consensus node that needs no disk sync and
+// returns the messages for the caller to send. It sends appends itself: sent outside
+// the mutex, an append could overtake its predecessor and the member would reject it.
+// The caller holds the mutex.
 func (g *group) drain() outbound {
 	outbox := g.node.TakeOutbox()
 	isAppend := func(m quorum.Message) bool { return m.Type == quorum.MsgAppend }
@@ -181,13 +183,15 @@
 	return g.drain()
 }
 
-// appendLost notes that an append to the member may not have arrived.
+// appendLost records that an append to the member may not have arrived.
 func (g *group) appendLost(to quorum.ID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.node.AppendLost(to)
 }
 
+// tick advances the node's clock. A sync that runs longer than two election timeouts
+// counts as stalled, so that the node gives up leadership.
 func (g *group) tick() outbound {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -198,7 +202,7 @@
 	return g.drain()
 }
 
-// leadership says whether this member leads, and the term that it is in.
+// leadership reports whether this member leads, and returns its current term.
 func (g *group) leadership() (bool, uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -210,7 +214,7 @@
 	return Member{ID: member.ID, VM: member.VM, Address: member.Address}, ok
 }
 
-// run does the work that the decision hands out, until the host stops.
+// run executes the work that the consensus node requests, until stop is closed.
 func (g *group) run(stop <-chan struct{}) {
 	for {
 		select {
@@ -231,8 +235,8 @@
 	}
 }
 
-// runCycle does one round of work; false if there was none. Committed entries are
-// applied while the new ones are being synced.
+// runCycle executes one round of work and reports whether there was any. It applies
+// committed entries while new ones are being synced.
 func (g *group) runCycle() (bool, error) {
 	g.mu.Lock()
 	ready, ok := g.node.Ready()
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -19,7 +19,7 @@
 
 var errLeadershipLost = errors.New("leadership was lost while the change was in progress")
 
-// Host holds the replicated groups of one VM. It is a Proposer.
+// Host runs the replicated groups of one VM. It implements Proposer.
 type Host struct {
 	config          Config
 	logger          *zap.Logger
@@ -39,8 +39,8 @@
 	mu         sync.Mutex
 	initial    *initialRecord
 	candidates map[quorum.ID]candidate
-	seeds      []string // as the settings name them now
-	retiring   []string // VMs that are to hold nothing any more
+	seeds      []string // as currently configured
+	retiring   []string // VMs that must not be members of any group
 	locations  map[uint32]groupLocation
 	failure    error
 	ended      bool
@@ -48,8 +48,8 @@
 
 var _ Proposer = (*Host)(nil)
 
-// Open recovers the groups from the data folder. The caller mounts the host's
-// calls, listens, and then calls Start.
+// Open recovers the groups from the data folder. The caller then mounts the host's
+// handlers, starts to listen, and calls Start.
 func Open(config Config) (*Host, error) {
 	config = config.withDefaults()
 	if err := config.validate(); err != nil {
@@ -73,16 +73,16 @@
 	return h, nil
 }
 
-// SetSeeds replaces the seeds by those that the settings name now. A blank
-// member that still looks for the others asks them too; who founds the groups
-// was settled by the first ones.
+// SetSeeds replaces the configured seeds. A blank member that still looks for the
+// other members contacts the new seeds as well; which VMs may bootstrap the groups
+// depends only on the seeds passed to Open.
 func (h *Host) SetSeeds(seeds []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.seeds = seeds
 }
 
-// appendLost is told by the transport of an append that may not have arrived.
+// appendLost is called by the transport for each append that may not have arrived.
 func (h *Host) appendLost(group uint32, to quorum.ID) { h.groups[group].appendLost(to) }
 
 func (h *Host) recover() error {
@@ -99,7 +99,7 @@
 	found := make([]recoveredLog, h.config.Groups)
 	h.log, err = wal.Open(filepath.Join(folder, logFolder), h.config.WAL, func(record wal.Record) error {
 		if record.Group >= h.config.Groups {
-			return fmt.Errorf("the log holds group %d, the settings name %d groups; the number cannot be changed", record.Group, h.config.Groups)
+			return fmt.Errorf("the log holds records of group %d but the settings configure %d groups; the number cannot be changed after bootstrap, restore the previous setting", record.Group, h.config.Groups)
 		}
 		return found[record.Group].addRecord(record)
 	})
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// Mount adds the calls of the other members to mux.
+// Mount registers the handlers for calls from other members on mux.
 func (h *Host) Mount(mux *http.ServeMux) {
 	rpc.Handle(mux, procedureMessages, maxBody, h.serveMessages)
 	rpc.Handle(mux, procedureChunk, maxBody, h.serveChunk)
@@ -144,7 +144,8 @@
 	return &ack{}, nil
 }
 
-// Start begins to take part. The host's calls are being served by now.
+// Start begins participation in the groups. The host's handlers must already be
+// served.
 func (h *Host) Start() {
 	for _, g := range h.groups {
 		h.wait.Go(func() { g.run(h.ctx.Done()) })
@@ -155,7 +156,8 @@
 	h.wait.Go(h.runReconcile)
 }
 
-// spawn runs fn until the host stops, which waits for it.
+// spawn runs fn in a goroutine that shutdown waits for. It does nothing once the host
+// is stopping.
 func (h *Host) spawn(fn func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -184,7 +186,7 @@
 // Propose implements Proposer.
 func (h *Host) Propose(ctx context.Context, group uint32, data []byte) ([]byte, error) {
 	if group >= uint32(len(h.groups)) || len(data) > maxProposalSize {
-		return nil, fmt.Errorf("propose %d bytes to group %d: no such group or over %d bytes", len(data), group, maxProposalSize)
+		return nil, fmt.Errorf("propose %d bytes to group %d: the group does not exist or the entry exceeds %d bytes", len(data), group, maxProposalSize)
 	}
 	return h.groups[group].propose(ctx, data)
 }
@@ -192,7 +194,7 @@
 // ReadBarrier implements Proposer.
 func (h *Host) ReadBarrier(ctx context.Context, group uint32) error {
 	if group >= uint32(len(h.groups)) {
-		return fmt.Errorf("read barrier: no group %d", group)
+		return fmt.Errorf("read barrier: group %d does not exist", group)
 	}
 	return h.groups[group].readBarrier(ctx)
 }
@@ -208,8 +210,8 @@
 	return g.leader()
 }
 
-// Lag gives for how long this VM has lacked a change of the group that its leader
-// had committed; 0 if it lacks none, or only newer ones.
+// Lag returns how long this VM has lacked an entry of the group that its leader had
+// committed; 0 if it lacks none, or only newer ones.
 func (h *Host) Lag(group uint32) time.Duration {
 	if group >= uint32(len(h.groups)) {
 		return 0
@@ -223,20 +225,21 @@
 // Groups implements Proposer.
 func (h *Host) Groups() uint32 { return uint32(len(h.groups)) }
 
-// Self gives this VM's own member.
+// Self returns this VM's own member.
 func (h *Host) Self() Member { return h.self }
 
-// Done is closed when the host has stopped; Err then tells whether a failure
-// of its disk was the cause.
+// Done returns a channel that is closed when the host has stopped; Err then returns
+// the failure of its disk, if that was the cause.
 func (h *Host) Done() <-chan struct{} { return h.done }
 
-// Err gives the failure that stopped the host, nil if there was none.
+// Err returns the failure that stopped the host, or nil.
 func (h *Host) Err() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.failure
 }
 
+// stopped returns a StoppedError if the host is stopping or has stopped.
 func (h *Host) stopped() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -246,18 +249,18 @@
 	return &StoppedError{Cause: h.failure}
 }
 
-// Fail stops the host for good, since a file of a machine has failed. Before
-// Start there is nothing to stop, and Open returns the error.
+// Fail stops the host permanently after a state machine failed to access its files.
+// Before Start there is nothing to stop, and Open returns the error.
 func (h *Host) Fail(cause error) {
 	if h != nil {
 		h.fail(cause)
 	}
 }
 
-// fail stops the host for good. A member whose disk does not keep what was
-// written must not vote or acknowledge any more; the others go on without it.
+// fail stops the host permanently. A member whose disk does not keep written data must
+// not vote or acknowledge entries; the other members continue without it.
 func (h *Host) fail(cause error) {
-	h.logger.Error("replica host stops", zap.Error(cause))
+	h.logger.Error("replica host stopping after a failure", zap.Error(cause))
 	h.mu.Lock()
 	if h.failure == nil && !h.ended {
 		h.failure = cause
@@ -266,8 +269,8 @@
 	go h.shutdown()
 }
 
-// Stop ends the host and returns when its files are closed. Leadership is
-// handed over first where another voter holds the whole log.
+// Stop shuts the host down and returns when its files are closed. It first transfers
+// leadership, where another voter holds the whole log.
 func (h *Host) Stop() {
 	h.transferLeadership()
 	h.shutdown()
@@ -284,13 +287,14 @@
 		h.failWaiters()
 		err := errors.Join(h.log.Close(), h.lock.Close())
 		if err != nil {
-			h.logger.Warn("close the data folder", zap.Error(err))
+			h.logger.Warn("failed to close the data folder", zap.Error(err))
 		}
 		close(h.done)
 	})
 	<-h.done
 }
 
+// failWaiters ends all pending proposals and reads.
 func (h *Host) failWaiters() {
 	for _, g := range h.groups {
 		g.mu.Lock()
@@ -303,8 +307,8 @@
 	}
 }
 
-// transferLeadership transfers the leadership of each group that this VM leads and waits
-// for it, an election timeout at most.
+// transferLeadership transfers the leadership of each group that this VM leads and
+// waits for completion, at most an election timeout.
 func (h *Host) transferLeadership() {
 	deadline := time.Now().Add(h.config.electionTimeout())
 	for _, g := range h.groups {
@@ -327,7 +331,8 @@
 	return false
 }
 
-// transferLeadership asks the reachable voter with the most of the log to lead.
+// transferLeadership requests that the reachable voter with the longest synced log
+// become leader.
 func (g *group) transferLeadership() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/replica/locate.go
+++ b/internal/replica/locate.go
@@ -11,25 +11,26 @@
 )
 
 const (
-	// maxSearchHops bounds a search: members that were asked name others, which may
-	// have taken their place.
+	// maxSearchHops bounds a search: the queried members may report other members that
+	// have replaced them.
 	maxSearchHops = 4
 	// searchTimeout bounds each hop.
 	searchTimeout = 300 * time.Millisecond
-	// locatedLeaderTTL is how long a leader that was found is not looked for again.
+	// locatedLeaderTTL is the time during which a located leader is not searched for
+	// again.
 	locatedLeaderTTL = 2 * time.Second
 )
 
-// groupLocation is what this VM has learnt of a group of which it is no member.
+// groupLocation is what this VM has learned of a group that it is not a member of.
 type groupLocation struct {
 	leader  Member // zero: none was found
 	members []quorum.Member
 	foundAt time.Time
 }
 
-// Locate looks for the leaders of the groups of which this VM knows none, since it
-// is no member of them or not any more, and found none lately. What it finds counts
-// for Members, and where a leader is needed.
+// LocateLeaders searches for the leaders of the groups for which this VM neither knows
+// a leader nor has located one recently, because it is not, or no longer, a member.
+// Members and calls that need a leader use the results.
 func (h *Host) Locate(ctx context.Context) {
 	for id := range h.Groups() {
 		if _, known := h.Leader(id); !known && h.locatedLeaderAge(id) > locatedLeaderTTL {
@@ -38,8 +39,8 @@
 	}
 }
 
-// LeaderHint gives the member to ask for the group's leader: the one that this VM
-// follows, else the one that it last found.
+// LeaderHint returns the member to contact as the group's leader: the one that this VM
+// follows, otherwise the one last located.
 func (h *Host) LeaderHint(group uint32) (Member, bool) {
 	if leader, known := h.Leader(group); known {
 		return leader, true
@@ -54,7 +55,7 @@
 	return leader, leader.Address != ""
 }
 
-// locatedLeaderAge is how long ago a leader of the group was found.
+// locatedLeaderAge returns the time since a leader of the group was located.
 func (h *Host) locatedLeaderAge(id uint32) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -64,7 +65,7 @@
 	return time.Since(h.locations[id].foundAt)
 }
 
-// findLeader gives the leader of a group, which may be looked for.
+// findLeader returns the leader of a group and searches for it if none is known.
 func (h *Host) findLeader(ctx context.Context, id uint32) (Member, bool) {
 	if leader, known := h.Leader(id); known {
 		return leader, true
@@ -72,27 +73,27 @@
 	return h.searchLeader(ctx, id)
 }
 
-// searchLeader asks the members of a group, as far as they are known here, and those
-// whom they name, until one says that it leads.
+// searchLeader queries the known members of a group, then the members that they
+// report, until one reports that it leads.
 func (h *Host) searchLeader(ctx context.Context, id uint32) (Member, bool) {
 	asked := map[string]bool{h.self.Address: true}
 	next := h.searchAddresses(id)
 	for range maxSearchHops {
-		var named []string
+		var reported []string
 		for address, status := range h.fetchStatuses(ctx, id, next, asked) {
 			if status.Leads {
 				return h.recordLocation(id, address, &status), true
 			}
-			named = append(named, addressesOf(&status)...)
+			reported = append(reported, addressesOf(&status)...)
 		}
-		next = named
+		next = reported
 	}
 	h.clearLocatedLeader(id)
 	return Member{}, false
 }
 
-// clearLocatedLeader notes that no leader was found. The members are a start for the
-// next search.
+// clearLocatedLeader records that no leader was found. It keeps the members as the
+// starting point of the next search.
 func (h *Host) clearLocatedLeader(id uint32) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -101,8 +102,9 @@
 	h.locations[id] = found
 }
 
-// searchAddresses gives the addresses at which a search for the group begins: the
-// members found by the last one, else those that this VM knew last, else everyone.
+// searchAddresses returns the addresses at which a search for the group starts: the
+// members found by the last search, otherwise those that this VM last knew, otherwise
+// all known members.
 func (h *Host) searchAddresses(id uint32) []string {
 	h.mu.Lock()
 	members := h.locations[id].members
@@ -120,8 +122,8 @@
 	return addresses
 }
 
-// fetchStatuses asks all addresses at once that were not asked before, and gives what
-// they say of the group, by address.
+// fetchStatuses queries all addresses that are not in asked concurrently and returns
+// their status of the group, by address.
 func (h *Host) fetchStatuses(ctx context.Context, id uint32, addresses []string, asked map[string]bool) map[string]GroupStatus {
 	ctx, cancel := context.WithTimeout(ctx, searchTimeout)
 	defer cancel()
@@ -136,7 +138,7 @@
 		calls.Go(func() {
 			answer, err := rpc.Call(ctx, h.transport.client, address, procedureStatus, &statusRequest{})
 			if err != nil || int(id) >= len(answer.Groups) {
-				return // another one is asked as well
+				return // the other addresses are queried as well
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -161,8 +163,8 @@
 	return found.leader
 }
 
-// membersOf gives the members of a group, as they were last found if this VM hears
-// no leader of it.
+// membersOf returns the members of a group: from the last search if this VM knows no
+// leader of the group, otherwise its own view.
 func (h *Host) membersOf(id uint32) []quorum.Member {
 	own := h.groups[id].membership().Members
 	if _, known := h.Leader(id); known {
--- a/internal/replica/orders.go
+++ b/internal/replica/orders.go
@@ -10,23 +10,23 @@
 	"slateway.example/slateway/internal/rpc"
 )
 
-// ReasonNoCandidate is the reason of a replacement that has nobody to put in.
+// ReasonNoCandidate is the reason of a replacement without a blank member to add.
 const ReasonNoCandidate apierr.Reason = "no_blank_member"
 
-// replacement is an operator's order to put New in the place of Old.
+// replacement is an operator's request to replace the member Old by New.
 type replacement struct {
 	Old quorum.ID     `cbor:"1,keyasint"`
 	New quorum.Member `cbor:"2,keyasint"`
 }
 
-// retireRequest names the VMs that are to hold nothing any more.
+// retireRequest lists the VMs that must not be members of any group.
 type retireRequest struct {
 	VMs []string `cbor:"1,keyasint"`
 }
 
-// Retire tells the leaders of all groups which VMs are to hold nothing any more,
-// and says whether any of these is still a member. The leaders forget it when
-// they fail: tell them again until it is done.
+// Retire notifies the leaders of all groups which VMs must not be members any more,
+// and returns those that still are. A new leader does not know the list: repeat the
+// call until no VM is left.
 func (h *Host) Retire(ctx context.Context, vms []string) (left []string, err error) {
 	request := &retireRequest{VMs: vms}
 	for id := range h.Groups() {
@@ -76,10 +76,10 @@
 	NewVM string `cbor:"3,keyasint"`
 }
 
-// ReplaceMember orders, in every group, that the member on oldVM be replaced by
-// the blank disk that waits on newVM; the two may be the same VM. It returns
-// once the leaders have taken the order; Status shows how far it is. A leader
-// that fails meanwhile forgets it: order again.
+// ReplaceMember requests, in every group, that the member on oldVM be replaced by the
+// blank disk on newVM; the two may be the same VM. It returns once the leaders have
+// accepted the request; Status shows the progress. A new leader does not know the
+// request: repeat the call after a change of leader.
 func (h *Host) ReplaceMember(ctx context.Context, oldVM, newVM string) error {
 	for id := range h.Groups() {
 		request := replaceRequest{Group: id, OldVM: oldVM, NewVM: newVM}
@@ -102,7 +102,7 @@
 
 func (h *Host) serveReplace(_ context.Context, request *replaceRequest) (*ack, error) {
 	if request.Group >= uint32(len(h.groups)) {
-		return nil, fmt.Errorf("no group %d", request.Group)
+		return nil, fmt.Errorf("group %d does not exist", request.Group)
 	}
 	candidates := h.recentCandidates()
 	g := h.groups[request.Group]
@@ -114,8 +114,8 @@
 	return &ack{}, g.scheduleReplacement(request, candidates)
 }
 
-// scheduleReplacement is idempotent: a group in which the new disk has taken the
-// place already needs no order.
+// scheduleReplacement accepts a request to replace a member. It is idempotent: it does
+// nothing in a group in which the new disk has already replaced the old one.
 func (g *group) scheduleReplacement(request *replaceRequest, candidates []quorum.Member) error {
 	members := g.node.Membership().Members
 	onNew := func(m quorum.Member) bool { return m.VM == request.NewVM }
@@ -136,10 +136,10 @@
 	case old == nil && fresh != nil:
 		return nil
 	case old == nil:
-		return apierr.New(apierr.NotFound, "no_member", "see the list of members", "group %d has no member on VM %s", g.id, request.OldVM)
+		return apierr.New(apierr.NotFound, "no_member", "check the list of members", "group %d has no member on VM %s", g.id, request.OldVM)
 	case fresh == nil:
 		return apierr.New(apierr.Conflict, ReasonNoCandidate, "start its daemon with an empty data folder first",
-			"no blank member on VM %s has been heard", request.NewVM)
+			"no blank member on VM %s has contacted this leader", request.NewVM)
 	}
 	g.pendingReplacement = &replacement{Old: old.ID, New: *fresh}
 	return nil
