--- a/internal/replica/repairview.go
+++ b/internal/replica/repairview.go
@@ -6,25 +6,26 @@
 	"slateway.example/slateway/internal/quorum"
 )
 
-// repairView is what the next step of a repair depends on.
+// repairView is the input from which nextChange determines the next membership change
+// of a group.
 type repairView struct {
 	members        []quorum.MemberStatus
 	candidates     []quorum.Member
-	target         int // voters that the group should have
-	lostTicks      int // unheard for as long, a member is lost; 0: never by itself
+	target         int // number of voters that the group should have
+	lostTicks      int // a member without contact for this long is lost; 0: no member is
 	replacement    *replacement
-	preferredClass string   // class of which members are taken as far as there are any
-	retiring       []string // VMs that are to hold nothing any more
-	minVoters      int      // voters that must stay when a retiring one has no successor
+	preferredClass string   // class from which members are chosen while any are available
+	retiring       []string // VMs that must not be members of any group
+	minVoters      int      // voters that remain when a retiring one has no replacement
 	self           quorum.ID
 }
 
-// nextChange gives the next membership change of a repair. It keeps no state
-// of its own: after a change of leader the next one goes on from the members.
+// nextChange returns the next membership change of a repair. It keeps no state of its
+// own, so a new leader continues the repair from the membership.
 //
-// A new member joins as a learner, counts once it holds the whole log, and only
-// then does the old one leave. The other order would leave two voters of three,
-// without one to spare, for as long as the transfer takes.
+// A new member joins as a learner, becomes a voter once it holds the whole log, and
+// only then is the old one removed. In the opposite order a group of three would have
+// two voters, and tolerate no loss, for as long as the transfer takes.
 func nextChange(v repairView) (quorum.Change, bool) {
 	voters := 0
 	for _, member := range v.members {
@@ -61,10 +62,11 @@
 	return quorum.Change{}, false
 }
 
-// needsReplacement says whether a blank disk is to take the place of a lost voter.
-// One of another class does so only if the voters left could not bear as many
-// further losses as the group is made for: a VM that is frozen for a while comes
-// back, and has to begin anew if it was replaced.
+// needsReplacement reports whether a standby should replace a lost voter. A standby of
+// another class than the preferred one does so only if the remaining voters could not
+// tolerate as many further losses as the group is designed for: a VM that only froze
+// for a while comes back, and would have to join again with an empty data folder if it
+// had been replaced.
 func (v repairView) needsReplacement(voters int, blank quorum.Member) bool {
 	lost := 0
 	for _, member := range v.members {
@@ -72,14 +74,15 @@
 			lost++
 		}
 	}
-	wellPlaced := v.preferredClass == "" || blank.Class == v.preferredClass
-	bearable := (v.minVoters - 1) / 2
-	return lost > 0 && (wellPlaced || voters-lost-bearable < voters/2+1)
+	matchesClass := v.preferredClass == "" || blank.Class == v.preferredClass
+	tolerated := (v.minVoters - 1) / 2
+	return lost > 0 && (matchesClass || voters-lost-tolerated < voters/2+1)
 }
 
+// isRetiring reports whether the VM is being retired.
 func (v repairView) isRetiring(vm string) bool { return slices.Contains(v.retiring, vm) }
 
-// retiringMember gives a voter whose VM is to hold nothing any more, the leader last.
+// retiringMember returns a member whose VM is being retired, the leader last.
 func (v repairView) retiringMember() (quorum.Member, bool) {
 	var found quorum.Member
 	for _, member := range v.members {
@@ -95,9 +98,9 @@
 	return ok
 }
 
-// newDiskOfMember gives a blank disk on the VM of a member. A VM has one disk, so the
-// member's is gone for good and there is nothing to wait for: until the new one
-// counts, the group can bear one loss less.
+// newDiskOfMember returns a blank disk on the VM of a member. A VM has one disk, so
+// the member's old disk is gone permanently and the replacement need not wait: until
+// the new disk is a voter, the group tolerates one loss less.
 func (v repairView) newDiskOfMember() (quorum.Member, bool) {
 	if v.lostTicks == 0 {
 		return quorum.Member{}, false
@@ -114,7 +117,8 @@
 	return quorum.Member{}, false
 }
 
-// replacedDisk gives a voter on whose VM a newer disk votes.
+// replacedDisk returns an unreachable member whose VM has a newer, reachable disk
+// in the group.
 func (v repairView) replacedDisk() (quorum.Member, bool) {
 	for _, old := range v.members {
 		newer := func(m quorum.MemberStatus) bool {
@@ -127,7 +131,7 @@
 	return quorum.Member{}, false
 }
 
-// standby gives a blank disk on a VM that has no member yet, of the preferred class
+// standby returns a blank disk on a VM that has no member yet, of the preferred class
 // if there is one.
 func (v repairView) standby() (quorum.Member, bool) {
 	var found quorum.Member
@@ -143,6 +147,8 @@
 	return found, found.ID != quorum.None
 }
 
+// finishLearner returns the change that promotes the learner, or removes it if it is
+// lost or its VM is being retired.
 func (v repairView) finishLearner(learner quorum.MemberStatus) (quorum.Change, bool) {
 	if v.isLost(learner) || v.isRetiring(learner.VM) {
 		return quorum.Change{Kind: quorum.Remove, Member: learner.Member}, true
@@ -150,7 +156,9 @@
 	return quorum.Change{Kind: quorum.Promote, Member: learner.Member}, learner.Reachable
 }
 
-// surplusVoter gives the voter that a new one has replaced.
+// surplusVoter returns a voter to remove: the one that an operator's request replaced
+// or, if there are more voters than the target, a lost one or one of another class
+// than the preferred one.
 func (v repairView) surplusVoter(voters int) (quorum.Member, bool) {
 	if v.replacement != nil && v.hasMember(v.replacement.New.ID) {
 		for _, member := range v.members {
@@ -173,14 +181,15 @@
 	return v.voterOfOtherClass()
 }
 
-// anyVoterUnreachable says whether a voter is not heard, lost or not. No live voter of
-// another class leaves then: of five voters with a lost one among them each that
-// leaves brings the group nearer to its end, and the lost one stays.
+// anyVoterUnreachable reports whether a voter is unreachable, lost or not. While one
+// is, no live voter of another class is removed: in a group of five with a lost voter,
+// each such removal would bring the group closer to losing its majority while the lost
+// voter stays.
 func (v repairView) anyVoterUnreachable() bool {
 	return slices.ContainsFunc(v.members, func(m quorum.MemberStatus) bool { return !m.Learner && !m.Reachable })
 }
 
-// voterOfOtherClass gives a voter of another class than the preferred one, the
+// voterOfOtherClass returns a voter of another class than the preferred one, the
 // leader last.
 func (v repairView) voterOfOtherClass() (quorum.Member, bool) {
 	var least quorum.Member
@@ -192,8 +201,8 @@
 	return least, least.ID != quorum.None
 }
 
-// improvesClass says whether a blank disk of the preferred class could take the
-// place of a voter of another.
+// improvesClass reports whether a blank disk of the preferred class could replace a
+// voter of another class.
 func (v repairView) improvesClass(blank quorum.Member) bool {
 	_, other := v.voterOfOtherClass()
 	return other && blank.Class == v.preferredClass
@@ -203,11 +212,12 @@
 	return slices.ContainsFunc(v.members, func(m quorum.MemberStatus) bool { return m.ID == id })
 }
 
+// isLost reports whether the member has been without contact for lostTicks.
 func (v repairView) isLost(member quorum.MemberStatus) bool {
 	return v.lostTicks > 0 && member.IdleTicks >= v.lostTicks
 }
 
-// preferredLeader gives a voter of the preferred class that could lead in place of
+// preferredLeader returns a voter of the preferred class that could lead in place of
 // one of another class.
 func (v repairView) preferredLeader() (quorum.ID, bool) {
 	var best quorum.MemberStatus
@@ -215,8 +225,8 @@
 		if member.ID == v.self && (member.Class == v.preferredClass || v.preferredClass == "") {
 			return quorum.None, false
 		}
-		able := member.Class == v.preferredClass && member.Reachable && !member.Learner && !v.isRetiring(member.VM)
-		if able && (best.ID == quorum.None || member.Match > best.Match) {
+		eligible := member.Class == v.preferredClass && member.Reachable && !member.Learner && !v.isRetiring(member.VM)
+		if eligible && (best.ID == quorum.None || member.Match > best.Match) {
 			best = member
 		}
 	}
--- a/internal/replica/replacement.go
+++ b/internal/replica/replacement.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// reconcileInterval also paces repairs: one membership change of one group
-	// in each.
+	// reconcileInterval also limits the rate of repairs: at most one membership change
+	// of one group per interval.
 	reconcileInterval = 100 * time.Millisecond
-	// candidateTTL is how long a blank member counts after it was heard: over two
-	// rounds of a spare.
+	// candidateTTL is how long a blank member counts as a candidate after its last
+	// contact: more than two hello rounds of a standby.
 	candidateTTL = 5 * time.Second
 )
 
-// candidate is a blank member that waits to be taken in.
+// candidate is a blank member that waits to join.
 type candidate struct {
 	member      quorum.Member
 	lastContact time.Time
@@ -30,17 +30,18 @@
 	h.candidates[member.ID] = candidate{member: member, lastContact: time.Now()}
 }
 
-// NoteCandidates takes in the blank members that another VM has heard.
+// RecordCandidates records blank members that contacted another VM.
 func (h *Host) NoteCandidates(members []quorum.Member) {
 	for _, member := range members {
 		h.recordCandidate(member)
 	}
 }
 
-// Candidates gives the blank members heard lately.
+// Candidates returns the blank members with recent contact.
 func (h *Host) Candidates() []quorum.Member { return h.recentCandidates() }
 
-// recentCandidates gives the blank members heard lately, in order of ID.
+// recentCandidates returns the blank members with recent contact, sorted by ID, and
+// forgets the others.
 func (h *Host) recentCandidates() []quorum.Member {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -68,7 +69,8 @@
 	}
 }
 
-// reconcile makes one change in one of the groups that this VM leads.
+// reconcile makes at most one membership change, in one of the groups that this VM
+// leads.
 func (h *Host) reconcile() {
 	view := repairView{
 		candidates: h.recentCandidates(),
@@ -84,6 +86,8 @@
 	}
 }
 
+// reconcile proposes the group's next membership change, if this member leads it and
+// one is due, and reports whether it did.
 func (g *group) reconcile(view repairView) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -104,23 +108,24 @@
 	if _, err := g.node.ProposeChange(change); err != nil {
 		return false
 	}
-	g.host.logger.Info("membership change", zap.Uint32("group", g.id), zap.Uint8("kind", uint8(change.Kind)),
+	g.host.logger.Info("membership change proposed", zap.Uint32("group", g.id), zap.Uint8("kind", uint8(change.Kind)),
 		zap.Stringer("member", change.Member.ID), zap.String("vm", change.Member.VM))
 	g.flush()
 	return true
 }
 
-// transferToPreferredClass hands the group over to a voter of the preferred class. The VMs of
-// that class have the processor for it, and the loss of one VM then does not take
-// the leader of the configuration with that of the jobs. The mutex is held.
+// transferToPreferredClass transfers leadership to a voter of the preferred class. The
+// VMs of that class have the processor capacity for it, and the loss of one VM then
+// does not affect both the leader of the configuration and that of the jobs. The
+// caller holds the mutex.
 func (g *group) transferToPreferredClass(view repairView) {
-	better, ok := view.preferredLeader()
+	preferred, ok := view.preferredLeader()
 	if !ok {
 		return
 	}
-	if err := g.node.Transfer(better); err != nil {
-		return // a transfer is under way, or the member has just left
+	if err := g.node.Transfer(preferred); err != nil {
+		return // a transfer is in progress, or the member has just left
 	}
-	g.host.logger.Info("leadership handed to the preferred class", zap.Uint32("group", g.id), zap.Stringer("member", better))
+	g.host.logger.Info("transferring leadership to a member of the preferred class", zap.Uint32("group", g.id), zap.Stringer("member", preferred))
 	g.flush()
 }
--- a/internal/replica/sendqueue.go
+++ b/internal/replica/sendqueue.go
@@ -2,25 +2,25 @@
 
 import "slateway.example/slateway/internal/quorum"
 
-// Bounds of what waits for one member, in messages and in bytes of one call.
+// Limits of the queue of one member in messages, and of one call in bytes.
 const (
 	maxQueued     = 4096
 	maxBatchBytes = 512 << 10
 )
 
-// sendQueue holds what waits to be sent to one member, in order.
+// sendQueue holds the messages to be sent to one member, in order.
 type sendQueue struct {
 	envelopes []envelope
 }
 
-// add takes a message in; beyond the bound it is dropped, since the decisions
-// send anew what gets no answer.
+// add appends a message. A message beyond the limit is dropped, since the consensus
+// nodes resend whatever is not acknowledged.
 //
-// A heartbeat takes the place of one of the same group and term that still
-// waits. A member that wakes after some seconds would otherwise answer each of
-// them, and its leader would take many answers without progress for lost appends.
-// The later one says no less: it confirms all reads that the earlier one does,
-// and its commit index is one that the member is known to hold.
+// A heartbeat replaces a queued one of the same group, receiver and term. Otherwise a
+// member that resumes after a pause of seconds would respond to each queued heartbeat,
+// and its leader would interpret the many responses without progress as lost appends.
+// The replacement is at least as strong: it confirms all reads that the earlier one
+// does, and its commit index is one that the member is known to hold.
 func (q *sendQueue) add(e envelope) {
 	if e.Message.Type == quorum.MsgHeartbeat {
 		for i := range q.envelopes {
@@ -35,12 +35,15 @@
 	}
 }
 
+// sameHeartbeat reports whether other is of the same group, receiver and term as the
+// heartbeat e.
 func (e *envelope) sameHeartbeat(other *envelope) bool {
 	return e.Message.Type == quorum.MsgHeartbeat && e.Group == other.Group &&
 		e.Message.To == other.Message.To && e.Message.Term == other.Message.Term
 }
 
-// takeBatch gives what fits into one call; a single larger message still goes.
+// takeBatch removes and returns the messages that fit into one call, or a single
+// message that exceeds the limit.
 func (q *sendQueue) takeBatch() []envelope {
 	size, count := 0, 0
 	for i := range q.envelopes {
--- a/internal/replica/snapshot.go
+++ b/internal/replica/snapshot.go
@@ -8,10 +8,12 @@
 	"slateway.example/slateway/internal/quorum"
 )
 
+// snapshotIfDue takes a snapshot if enough entries were applied since the last one, or
+// if this group keeps the log from being truncated.
 func (g *group) snapshotIfDue() error {
 	config := g.host.config
 	bytes, oldest, several := g.host.log.Size()
-	// A quiet group must not keep old segments for good.
+	// An idle group must not pin old log segments indefinitely.
 	pinning := several && oldest == g.id && bytes > 4*config.SnapshotBytes
 	due := g.entriesSinceSnapshot >= config.SnapshotEntries || g.bytesSinceSnapshot >= config.SnapshotBytes
 	if g.entriesSinceSnapshot == 0 || !due && !pinning {
@@ -20,7 +22,7 @@
 	return g.takeSnapshot()
 }
 
-// takeSnapshot makes the state durable and lets go of the log before it.
+// takeSnapshot persists the state and releases the log entries before it.
 func (g *group) takeSnapshot() error {
 	taken, err := g.machine.Snapshot()
 	if err != nil {
@@ -30,7 +32,7 @@
 	meta, ok := g.node.MetaAt(g.applied)
 	g.mu.Unlock()
 	if !ok {
-		return nil // a snapshot of the leader has just replaced the log
+		return nil // a snapshot from the leader has just replaced the log
 	}
 	stored := storedSnapshot{Meta: meta, State: taken.State, Files: taken.Files}
 	bytes, err := g.store.save(stored)
@@ -42,7 +44,7 @@
 	g.counters = groupCounters{snapshotIndex: meta.Index, snapshotBytes: bytes}
 	g.mu.Unlock()
 	if err != nil {
-		return nil // as above: the newer snapshot follows in the next cycle
+		return nil // same case: the newer snapshot is installed in the next cycle
 	}
 	stored.State = nil
 	g.lastSnapshot = stored
@@ -52,10 +54,10 @@
 	return g.host.log.Release(g.id, meta.Index)
 }
 
-// entriesToKeep gives how many entries before a snapshot stay in memory. Those
-// after a snapshot that is being sent must, and those that a slower member has
-// not acknowledged: without them it would need another snapshot, for as long as
-// the changes go on faster than a transfer. The mutex is held.
+// entriesToKeep returns how many entries before a snapshot stay in memory: at least
+// those after a snapshot that is being sent, and those that a slower member has not
+// acknowledged. Without them that member would need another snapshot, repeatedly,
+// while changes arrive faster than a transfer completes. The caller holds the mutex.
 func (g *group) entriesToKeep(index uint64) uint64 {
 	needed := g.node.NeededAfter()
 	for _, sent := range g.sending {
@@ -65,7 +67,7 @@
 	return min(keep, maxKeptEntries)
 }
 
-// install puts a snapshot that has arrived in full in place of the state.
+// install replaces the state with a snapshot that was received completely.
 func (g *group) install(meta quorum.SnapshotMeta) error {
 	if err := g.staging.moveTo(g.store.path(installFolder)); err != nil {
 		return err
@@ -78,7 +80,7 @@
 		return err
 	}
 	if stored.Meta.Index != meta.Index {
-		return fmt.Errorf("installed a snapshot at %d where %d was announced", stored.Meta.Index, meta.Index)
+		return fmt.Errorf("installed a snapshot at index %d, expected index %d", stored.Meta.Index, meta.Index)
 	}
 	if err := g.machine.Restore(Snapshot{State: stored.State, Files: stored.Files}); err != nil {
 		return fmt.Errorf("restore: %w", err)
--- a/internal/replica/staging.go
+++ b/internal/replica/staging.go
@@ -12,18 +12,20 @@
 	"slateway.example/slateway/internal/wal"
 )
 
-// staging is the receiving side of a group's transfers: one at a time, into a
-// folder that counts for nothing until it is whole.
+// staging is the receiving side of a group's snapshot transfers. It accepts one
+// transfer at a time, into a folder that is ignored until the transfer is complete.
 type staging struct {
 	folder string
 
 	mu         sync.Mutex
 	transferID string
-	sealed     bool // handed to the decision, not installed yet
+	sealed     bool // passed to the consensus node, not installed yet
 }
 
 var errStagingBusy = errors.New("another snapshot is being installed")
 
+// write stores a chunk of the current transfer. A chunk with Begin starts a new
+// transfer, which replaces an incomplete one.
 func (s *staging) write(c *chunk) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,13 +39,13 @@
 		s.transferID = c.Transfer
 	}
 	if c.Transfer != s.transferID {
-		return fmt.Errorf("transfer %s was replaced by %s", c.Transfer, s.transferID)
+		return fmt.Errorf("snapshot transfer %s was superseded by transfer %s", c.Transfer, s.transferID)
 	}
 	if c.Final != nil {
 		return nil
 	}
 	if !validName(c.Name) || crc32.Checksum(c.Data, castagnoli) != c.Checksum {
-		return fmt.Errorf("chunk of %q at %d is damaged", c.Name, c.Offset)
+		return fmt.Errorf("snapshot chunk of file %q at offset %d has an invalid name or checksum", c.Name, c.Offset)
 	}
 	file, err := os.OpenFile(filepath.Join(s.folder, c.Name), os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -53,7 +55,7 @@
 	return errors.Join(err, file.Close())
 }
 
-// seal checks that the files are whole and syncs them.
+// seal verifies that the files are complete and syncs them.
 func (s *staging) seal(meta quorum.SnapshotMeta) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,7 +69,7 @@
 		return err
 	}
 	if stored.Meta.Index != meta.Index || stored.Meta.Term != meta.Term {
-		return fmt.Errorf("snapshot at %d arrived where %d was announced", stored.Meta.Index, meta.Index)
+		return fmt.Errorf("received a snapshot at index %d, expected index %d", stored.Meta.Index, meta.Index)
 	}
 	if err := syncPath(path); err != nil {
 		return err
@@ -87,7 +89,7 @@
 		return err
 	}
 	if !validName(file.Name) || info.Size() != file.Length {
-		return fmt.Errorf("file %q arrived with %d of %d bytes", file.Name, info.Size(), file.Length)
+		return fmt.Errorf("snapshot file %q was received with %d of %d bytes", file.Name, info.Size(), file.Length)
 	}
 	return syncPath(path)
 }
@@ -100,7 +102,7 @@
 	return errors.Join(file.Sync(), file.Close())
 }
 
-// reset lets the next transfer begin.
+// reset allows the next transfer to start.
 func (s *staging) reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,12 +110,12 @@
 	s.transferID = ""
 }
 
-// moveTo moves the whole snapshot to where the store installs it from.
+// moveTo moves the complete snapshot to the folder from which the store installs it.
 func (s *staging) moveTo(install string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := os.Rename(s.folder, install); err != nil {
-		return fmt.Errorf("hand over a snapshot: %w", err)
+		return fmt.Errorf("move a received snapshot to the install folder: %w", err)
 	}
 	s.sealed = false
 	s.transferID = ""
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -7,42 +7,42 @@
 	"slateway.example/slateway/internal/rpc"
 )
 
-// MemberStatus is one member of a group.
+// MemberStatus describes one member of a group.
 type MemberStatus struct {
 	ID      quorum.ID `cbor:"1,keyasint"`
 	VM      string    `cbor:"2,keyasint"`
 	Address string    `cbor:"3,keyasint"`
-	Learner bool      `cbor:"4,keyasint,omitempty"` // holds no vote until it has the whole log
-	// Match and Reachable are known to the leader only.
-	Match     uint64 `cbor:"5,keyasint,omitempty"` // last entry it has synced
+	Learner bool      `cbor:"4,keyasint,omitempty"` // has no vote until it holds the whole log
+	// Match and Reachable are known only to the leader.
+	Match     uint64 `cbor:"5,keyasint,omitempty"` // index of the last entry that it has synced
 	Reachable bool   `cbor:"6,keyasint,omitempty"`
 	Class     string `cbor:"7,keyasint,omitempty"` // kind of VM
 }
 
-// GroupStatus is the state of a group as one VM sees it.
+// GroupStatus is the state of a group as seen by one VM.
 type GroupStatus struct {
 	Group   uint32         `cbor:"1,keyasint"`
 	Leader  quorum.ID      `cbor:"2,keyasint,omitempty"` // zero: unknown
-	Leads   bool           `cbor:"3,keyasint,omitempty"` // this VM leads; the last two fields count only then
+	Leads   bool           `cbor:"3,keyasint,omitempty"` // this VM leads; VotersReachable, Tolerance and Confirmed are valid only then
 	Term    uint64         `cbor:"4,keyasint"`
 	Commit  uint64         `cbor:"5,keyasint"`
 	Applied uint64         `cbor:"6,keyasint"`
 	Members []MemberStatus `cbor:"7,keyasint"`
-	// IsMember is false for a blank member and for one that was removed; the
-	// latter joins again only with an empty data folder.
+	// IsMember is false for a blank member and for one that was removed; the latter
+	// can join again only with an empty data folder.
 	IsMember      bool   `cbor:"8,keyasint,omitempty"`
 	SnapshotIndex uint64 `cbor:"9,keyasint,omitempty"`
 	SnapshotBytes int    `cbor:"10,keyasint,omitempty"`
-	// VotersReachable are the voters that answer and follow the log; Tolerance
-	// is how many of them may be lost before changes stop.
+	// VotersReachable is the number of voters that respond and follow the log;
+	// Tolerance is how many of them may be lost before changes stop.
 	VotersReachable int `cbor:"11,keyasint,omitempty"`
 	Tolerance       int `cbor:"12,keyasint,omitempty"`
-	// Confirmed: the members are those that the group's leader has, of which the
-	// latest change is committed.
+	// Confirmed reports that Members is the leader's view and that the latest
+	// membership change is committed.
 	Confirmed bool `cbor:"13,keyasint,omitempty"`
 }
 
-// Status gives the groups as this VM sees them.
+// Status returns the groups as seen by this VM.
 func (h *Host) Status() []GroupStatus {
 	statuses := make([]GroupStatus, len(h.groups))
 	for i, g := range h.groups {
@@ -79,8 +79,8 @@
 	return &statusResponse{Groups: h.Status()}, nil
 }
 
-// LeaderStatus gives the groups as their leaders see them; a group whose leader
-// cannot be asked is given as this VM sees it.
+// LeaderStatus returns the groups as seen by their leaders, or as seen by this VM
+// where the leader cannot be reached.
 func (h *Host) LeaderStatus(ctx context.Context) []GroupStatus {
 	statuses := h.Status()
 	asked := map[string]*statusResponse{}
--- a/internal/replica/store.go
+++ b/internal/replica/store.go
@@ -20,16 +20,16 @@
 const (
 	recordEntries wal.Kind = iota + 1
 	recordHardState
-	// recordReset says that a snapshot of another member replaced the log:
-	// earlier entries of the group are void.
+	// recordReset marks that a snapshot from another member replaced the log: earlier
+	// entries of the group are void.
 	recordReset
 )
 
-// Names in a group's folder.
+// Names of files and folders in a group's folder.
 const (
-	filesFolder    = "files"    // of the machine
-	incomingFolder = "incoming" // a snapshot that is arriving
-	installFolder  = "install"  // a whole snapshot, to be moved into place
+	filesFolder    = "files"    // files of the state machine
+	incomingFolder = "incoming" // a snapshot that is being received
+	installFolder  = "install"  // a complete snapshot that is not installed yet
 	snapshotFile   = "snapshot"
 )
 
@@ -56,12 +56,12 @@
 	var stored storedSnapshot
 	body := len(data) - checksumSize
 	if body < 0 || crc32.Checksum(data[:body], castagnoli) != binary.LittleEndian.Uint32(data[body:]) {
-		return stored, fmt.Errorf("snapshot %s is damaged; replace this member with an empty data folder", path)
+		return stored, fmt.Errorf("snapshot %s is damaged; empty the data folder and replace this member", path)
 	}
 	return stored, codec.Unmarshal(data[:body], &stored)
 }
 
-// store is the part of a group that lies outside the shared log.
+// store holds the files of a group outside the shared log.
 type store struct {
 	folder string
 }
@@ -69,10 +69,10 @@
 func openStore(folder string) (*store, error) {
 	s := &store{folder: folder}
 	if err := os.MkdirAll(s.path(filesFolder), 0o700); err != nil {
-		return nil, fmt.Errorf("make a group's folder: %w", err)
+		return nil, fmt.Errorf("create the folder of a group: %w", err)
 	}
 	if err := os.RemoveAll(s.path(incomingFolder)); err != nil {
-		return nil, fmt.Errorf("clear an unfinished snapshot: %w", err)
+		return nil, fmt.Errorf("remove an incomplete snapshot: %w", err)
 	}
 	return s, s.finishInstall()
 }
@@ -81,7 +81,7 @@
 	return filepath.Join(append([]string{s.folder}, names...)...)
 }
 
-// load gives the newest snapshot; the zero one if there is none.
+// load returns the newest snapshot, or the zero value if there is none.
 func (s *store) load() (storedSnapshot, error) {
 	path := s.path(snapshotFile)
 	data, err := os.ReadFile(path)
@@ -94,7 +94,7 @@
 	return decodeSnapshot(path, data)
 }
 
-// save replaces the snapshot. The files of the machine are synced already.
+// save replaces the snapshot. The files of the state machine must be synced already.
 func (s *store) save(stored storedSnapshot) (bytes int, err error) {
 	data, err := stored.encode()
 	if err != nil {
@@ -103,12 +103,12 @@
 	return len(data), wal.ReplaceFile(s.path(snapshotFile), data)
 }
 
-// truncateFiles brings the machine's folder to what a snapshot states: appends made
-// after it are cut off, because the replay of the log makes them again.
+// truncateFiles restores the state machine's files to the lengths that a snapshot
+// states. Later appends are removed because the replay of the log repeats them.
 func (s *store) truncateFiles(files []File) error {
 	present, err := os.ReadDir(s.path(filesFolder))
 	if err != nil {
-		return fmt.Errorf("list a machine's files: %w", err)
+		return fmt.Errorf("list the files of a state machine: %w", err)
 	}
 	for _, item := range present {
 		listed := slices.ContainsFunc(files, func(f File) bool { return f.Name == item.Name() })
@@ -131,19 +131,19 @@
 	path := s.path(filesFolder, file.Name)
 	info, err := os.Stat(path)
 	if err != nil {
-		return fmt.Errorf("a file of the snapshot is missing, replace this member: %w", err)
+		return fmt.Errorf("a file of the snapshot is missing; empty the data folder and replace this member: %w", err)
 	}
 	if info.Size() < file.Length {
-		return fmt.Errorf("%s has %d of the %d bytes that the snapshot states; replace this member", path, info.Size(), file.Length)
+		return fmt.Errorf("%s has %d of the %d bytes that the snapshot states; empty the data folder and replace this member", path, info.Size(), file.Length)
 	}
 	if err := os.Truncate(path, file.Length); err != nil {
-		return fmt.Errorf("cut %s: %w", path, err)
+		return fmt.Errorf("truncate %s: %w", path, err)
 	}
 	return nil
 }
 
-// finishInstall moves a snapshot that arrived whole into place. Every step can
-// be repeated, so a crash in the middle is mended by the next start.
+// finishInstall installs a snapshot that was received completely. Every step is
+// idempotent, so the next start completes an installation that a crash interrupted.
 func (s *store) finishInstall() error {
 	install := s.path(installFolder)
 	data, err := os.ReadFile(filepath.Join(install, snapshotFile))
@@ -151,7 +151,7 @@
 		return removeFolder(install)
 	}
 	if err != nil {
-		return fmt.Errorf("read an arrived snapshot: %w", err)
+		return fmt.Errorf("read a received snapshot: %w", err)
 	}
 	stored, err := decodeSnapshot(install, data)
 	if err != nil {
@@ -175,7 +175,8 @@
 	return removeFolder(install)
 }
 
-// fileSuffix keeps the machine's names apart from the snapshot's own.
+// fileSuffix keeps the names of the state machine's files apart from those of the
+// snapshot's own files.
 const fileSuffix = ".file"
 
 func removeFolder(path string) error {
@@ -185,7 +186,7 @@
 	return nil
 }
 
-// validName says whether a file name of a snapshot stays inside its folder.
+// validName reports whether a file name in a snapshot stays inside its folder.
 func validName(name string) bool {
 	return name != "" && name != "." && name != ".." && !strings.ContainsAny(name, "/\\\x00")
 }
@@ -211,7 +212,7 @@
 	if len(entries) == 0 {
 		return nil
 	}
-	// A later write at the same position replaced the rest of the log.
+	// A later write at the same index replaced the rest of the log.
 	first := entries[0].Index
 	for len(r.entries) > 0 && r.entries[len(r.entries)-1].Index >= first {
 		r.entries = r.entries[:len(r.entries)-1]
@@ -220,9 +221,10 @@
 	return nil
 }
 
-// entriesAfter gives the entries that follow a snapshot. None follow it if the log
-// holds another entry at its index: the snapshot came from another member, and
-// the crash fell between its installation and the record that voids the log.
+// entriesAfter returns the entries that follow a snapshot. It returns none if the log
+// holds an entry of another term at the snapshot's index: the snapshot came from
+// another member, and a crash happened between its installation and the record that
+// voids the log.
 func (r *recoveredLog) entriesAfter(meta quorum.SnapshotMeta) []quorum.Entry {
 	for i, entry := range r.entries {
 		if entry.Index == meta.Index && entry.Term != meta.Term {
--- a/internal/replica/transfer.go
+++ b/internal/replica/transfer.go
@@ -23,31 +23,32 @@
 	transferRetry = 500 * time.Millisecond
 )
 
-// chunk is a piece of a snapshot on its way to another member. The pieces of a
-// transfer come in order, one call at a time.
+// chunk is a part of a snapshot that is sent to another member. The chunks of a
+// transfer are sent in order, one call at a time.
 type chunk struct {
 	Group    uint32 `cbor:"1,keyasint"`
 	Transfer string `cbor:"2,keyasint"`
-	Begin    bool   `cbor:"3,keyasint,omitempty"` // first piece of the transfer
+	Begin    bool   `cbor:"3,keyasint,omitempty"` // first chunk of the transfer
 	Name     string `cbor:"4,keyasint,omitempty"` // file in the staging folder
 	Offset   int64  `cbor:"5,keyasint,omitempty"`
 	Data     []byte `cbor:"6,keyasint,omitempty"`
 	Checksum uint32 `cbor:"7,keyasint,omitempty"` // CRC-32C of Data
-	// Final ends the transfer: all files are whole.
+	// Final ends the transfer: all files have been sent.
 	Final   *quorum.Message `cbor:"8,keyasint,omitempty"`
 	From    quorum.ID       `cbor:"9,keyasint"`
 	Address string          `cbor:"10,keyasint"`
 }
 
-// transferLimiter bounds the bytes a second that snapshots take, so that a repair does
-// not slow the changes that go on beside it.
+// transferLimiter limits the bytes per second of snapshot transfers, so that a repair
+// does not slow down concurrent changes.
 type transferLimiter struct{ limiter *rate.Limiter }
 
 func newTransferLimiter(bytesPerSecond int64) *transferLimiter {
 	return &transferLimiter{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), chunkSize)}
 }
 
-// startTransfer sends the newest snapshot to a member. The mutex is held.
+// startTransfer sends the newest snapshot to a member, unless a transfer to it is
+// running. The caller holds the mutex.
 func (g *group) startTransfer(to quorum.ID) {
 	if _, running := g.sending[to]; running {
 		return
@@ -61,7 +62,7 @@
 		g.host.config.Metrics.Count(metricTransfers)
 		if err != nil {
 			g.host.config.Metrics.Count(metricTransferFails)
-			g.host.logger.Warn("snapshot transfer", zap.Uint32("group", g.id), zap.String("to", address), zap.Error(err))
+			g.host.logger.Warn("snapshot transfer failed", zap.Uint32("group", g.id), zap.String("to", address), zap.Error(err))
 			sleepContext(g.host.ctx, transferRetry)
 		} else {
 			g.host.logger.Info("snapshot sent", zap.Uint32("group", g.id), zap.Stringer("member", to), zap.String("to", address),
@@ -75,6 +76,7 @@
 	})
 }
 
+// sleepContext sleeps for d or until ctx ends.
 func sleepContext(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -84,7 +86,7 @@
 	}
 }
 
-// outgoingTransfer is one transfer on the sending side.
+// outgoingTransfer is the sending side of a snapshot transfer.
 type outgoingTransfer struct {
 	group   *group
 	address string
@@ -92,8 +94,8 @@
 	started bool
 }
 
-// transfer sends the snapshot on disk and gives its index. base stands in for
-// a group that has taken no snapshot since it began.
+// transfer sends the snapshot on disk and returns its index. base is the metadata to
+// send for a group that has taken no snapshot yet.
 func (g *group) transfer(address string, to quorum.ID, term uint64, base quorum.SnapshotMeta) (uint64, error) {
 	stored, err := g.store.load()
 	if err != nil {
@@ -175,7 +177,7 @@
 		return nil, err
 	}
 	if c.Group >= uint32(len(h.groups)) {
-		return nil, fmt.Errorf("no group %d", c.Group)
+		return nil, fmt.Errorf("group %d does not exist", c.Group)
 	}
 	h.transport.recordAddress(c.From, c.Address)
 	g := h.groups[c.Group]
@@ -186,7 +188,7 @@
 		return &ack{}, nil
 	}
 	if c.Final.Snapshot == nil {
-		return nil, fmt.Errorf("the final chunk names no snapshot")
+		return nil, fmt.Errorf("the final chunk of a transfer contains no snapshot metadata")
 	}
 	if err := g.staging.seal(*c.Final.Snapshot); err != nil {
 		return nil, err
@@ -195,7 +197,8 @@
 	return &ack{}, nil
 }
 
-// acceptSnapshot lets the decision take the staged snapshot or refuse it.
+// acceptSnapshot passes the staged snapshot to the consensus node, which accepts or
+// rejects it.
 func (g *group) acceptSnapshot(m quorum.Message) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/replica/transport.go
+++ b/internal/replica/transport.go
@@ -12,7 +12,7 @@
 	"slateway.example/slateway/internal/rpc"
 )
 
-// Calls between hosts.
+// Procedures that hosts call on each other.
 const (
 	procedureMessages rpc.Procedure[batch, ack]                    = "/slateway.replica/Messages"
 	procedureChunk    rpc.Procedure[chunk, ack]                    = "/slateway.replica/Chunk"
@@ -22,32 +22,32 @@
 	procedureStatus   rpc.Procedure[statusRequest, statusResponse] = "/slateway.replica/Status"
 )
 
-// maxBody bounds the body of one call in bytes: an entry of maximal size and
-// the rest of its batch.
+// maxBody limits the body of one call in bytes: an entry of maximum size and the rest
+// of its batch.
 const maxBody = 16 << 20
 
 const (
-	// callsPerElectionTimeout calls, one after the other, may time out in an election
-	// timeout. A connection may go silent for good, in both directions at once:
-	// then a heartbeat is lost, and after it the answer to the next one. Both
-	// must be noticed before the leader gives up its office.
+	// callsPerElectionTimeout is how many consecutive calls may time out within an
+	// election timeout. A connection may stop passing data permanently in both
+	// directions at once: then a heartbeat is lost, and afterwards the response to the
+	// next one. Both timeouts must expire before the leader gives up leadership.
 	callsPerElectionTimeout = 3
-	// minLinkRate, in bytes a second, extends the timeout of large batches.
+	// minLinkRate, in bytes per second, extends the timeout of large batches.
 	minLinkRate = 4 << 20
 )
 
 type ack struct{}
 
-// envelope is a message and the group that it belongs to.
+// envelope is a message with the group that it belongs to.
 type envelope struct {
 	Group   uint32         `cbor:"1,keyasint"`
 	Message quorum.Message `cbor:"2,keyasint"`
 }
 
-// batch carries the messages of all groups between two hosts.
+// batch carries messages of all groups from one host to another.
 type batch struct {
 	From      quorum.ID  `cbor:"1,keyasint"`
-	Address   string     `cbor:"2,keyasint"` // of the sender, to answer at
+	Address   string     `cbor:"2,keyasint"` // address of the sender, for responses
 	Envelopes []envelope `cbor:"3,keyasint"`
 }
 
@@ -59,21 +59,21 @@
 	return size
 }
 
-// transport sends the messages of all groups, in one call at a time per member.
-// A lost batch is no harm: the decisions send anew.
+// transport sends the messages of all groups, with one call at a time per member. A
+// batch may be lost: the consensus nodes resend what was not acknowledged.
 type transport struct {
 	client  *rpc.Client
 	newPeer func() *http.Client
 	self    Member
 	timeout time.Duration
 	logger  *zap.Logger
-	// onLost is told of each message that may not have arrived.
+	// onLost is called for each append that may not have arrived.
 	onLost func(group uint32, to quorum.ID)
 
 	mu    sync.Mutex
 	peers map[string]*peer // by address
-	// senderAddresses holds the addresses that members gave in their calls. A blank
-	// member learns from it where to answer before it has any membership.
+	// senderAddresses holds the addresses that members stated in their calls. A blank
+	// member uses it to respond before it has any membership.
 	senderAddresses map[quorum.ID]string
 	stopped         bool
 	wait            sync.WaitGroup
@@ -102,16 +102,17 @@
 	}
 }
 
-// outbound are messages of one group.
+// outbound holds messages of one group and the membership with the addresses of their
+// receivers.
 type outbound struct {
 	group    uint32
 	members  quorum.Membership
 	messages []quorum.Message
 }
 
-// send queues messages; those to members without an address are dropped. What
-// is given at once to a member goes in one call, up to its bound: the calls, not
-// their bytes, are what heartbeats of many groups cost.
+// send queues messages; those to members without a known address are dropped. Messages
+// queued together for one member share a call, up to its limit, because the cost of
+// the heartbeats of many groups lies in the number of calls rather than their size.
 func (t *transport) send(all ...outbound) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -122,7 +123,7 @@
 	}
 }
 
-// enqueue adds one message. The mutex is held.
+// enqueue queues one message. The caller holds the mutex.
 func (t *transport) enqueue(o outbound, m quorum.Message) {
 	address := t.address(o.members, m.To)
 	if address == "" || t.stopped {
@@ -150,14 +151,15 @@
 	return t.address(members, to)
 }
 
-// recordAddress notes where a member can be answered.
+// recordAddress records the address at which a member can be reached.
 func (t *transport) recordAddress(id quorum.ID, address string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.senderAddresses[id] = address
 }
 
-// peer gives the sender to an address. The mutex is held.
+// peer returns the sender for an address and starts it if there is none. The caller
+// holds the mutex.
 func (t *transport) peer(address string) *peer {
 	p := t.peers[address]
 	if p == nil {
@@ -169,6 +171,7 @@
 	return p
 }
 
+// run sends the queued messages of one member until the transport stops.
 func (t *transport) run(p *peer) {
 	reachable := true
 	for {
@@ -203,15 +206,16 @@
 	defer cancel()
 	_, err := rpc.Call(ctx, p.client, p.address, procedureMessages, next)
 	if err != nil {
-		// A call that is given up closes its own HTTP/1 connection. The idle
-		// ones beside it may have gone silent with it.
+		// A call that times out closes its own HTTP/1 connection. The idle connections
+		// to the same member may be dead as well.
 		p.httpClient.CloseIdleConnections()
 	}
 	return err
 }
 
-// reportLostAppends says which members may lack an append. What they were sent after it
-// is of no use to them, and their silence would show that only later.
+// reportLostAppends reports each append of a batch that may not have arrived. The
+// member cannot use the appends after it, and the missing acknowledgements would
+// reveal the loss only later.
 func (t *transport) reportLostAppends(lost *batch) {
 	for i := range lost.Envelopes {
 		if e := &lost.Envelopes[i]; e.Message.Type == quorum.MsgAppend {
--- a/internal/replica/waiting.go
+++ b/internal/replica/waiting.go
@@ -7,7 +7,7 @@
 	"slateway.example/slateway/internal/quorum"
 )
 
-// proposal waits for its entry to be applied.
+// proposal is a caller of Propose that waits for its entry to be applied.
 type proposal struct {
 	term uint64
 	done chan outcome
@@ -18,12 +18,14 @@
 	err    error
 }
 
-// read waits for a barrier: first for its index, then for that to be applied.
+// read is a caller of ReadBarrier. It waits until its index is known and then until
+// that index is applied.
 type read struct {
 	index uint64 // zero until a majority has confirmed the leader
 	done  chan error
 }
 
+// finishRead completes a read whose index is known and applied.
 func (g *group) finishRead(id uint64, waiting *read) {
 	if waiting.index != 0 && waiting.index <= g.applied {
 		waiting.done <- nil
@@ -31,9 +33,10 @@
 	}
 }
 
-// failStaleWaiters ends the waits of a member that no longer leads. An entry that
-// was proposed here may still be committed by the next leader, so its proposer
-// first gets an election timeout in which to learn that.
+// failStaleWaiters fails the pending reads and proposals of a member that no longer
+// leads. The next leader may still commit an entry that was proposed here, so
+// proposals fail only after an election timeout in which this member can learn the
+// outcome. The caller holds the mutex.
 func (g *group) failStaleWaiters() {
 	if g.node.IsLeader() {
 		g.ticksSinceLeadership = 0
@@ -53,6 +56,7 @@
 	}
 }
 
+// failProposals fails all pending proposals with an unknown outcome.
 func (g *group) failProposals(cause error) {
 	for index, waiting := range g.proposals {
 		waiting.done <- outcome{err: &OutcomeUnknownError{Group: g.id, Cause: cause}}
@@ -60,9 +64,9 @@
 	}
 }
 
-// notLeader names the leader that this member knows. It never names this VM,
-// which has just refused: a caller would come back at once, again and again.
-// The mutex is held.
+// notLeader returns an error with the leader that this member knows. The error never
+// refers to this VM, which has just rejected the call: the caller would retry here
+// immediately and repeatedly. The caller holds the mutex.
 func (g *group) notLeader() error {
 	leader, _ := g.leader()
 	if leader.ID == g.host.self.ID {
@@ -101,7 +105,7 @@
 		return nil, g.notLeader()
 	}
 	if older := g.proposals[index]; older != nil {
-		// Its entry was overwritten by a newer leader before this VM led again.
+		// A newer leader overwrote its entry before this VM became leader again.
 		older.done <- outcome{err: g.notLeader()}
 	}
 	waiting := &proposal{term: term, done: make(chan outcome, 1)}
@@ -144,8 +148,8 @@
 	return id, waiting, nil
 }
 
-// finishProposal answers the proposer of the entry's index. An entry of another
-// term there proves that its own was overwritten and never committed.
+// finishProposal sends the result to the proposer of the entry at this index. If the
+// entry is of another term, the proposed entry was overwritten and never committed.
 func (g *group) finishProposal(entry quorum.Entry, result []byte) {
 	waiting := g.proposals[entry.Index]
 	if waiting == nil {
