--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -14,10 +14,10 @@
 	hdrhistogram "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// proposalSize is near the size of a batch item's result record, in bytes.
+// proposalSize is close to the size in bytes of the result record of a batch item.
 const proposalSize = 200
 
-// BenchmarkPropose measures acknowledged changes a second and their latency.
+// BenchmarkPropose measures acknowledged changes per second and their latency.
 func BenchmarkPropose(b *testing.B) {
 	for _, members := range []int{3, 5} {
 		for _, callers := range []int{1, 64, 512} {
@@ -59,8 +59,8 @@
 	b.ReportMetric(float64(histogram.ValueAtQuantile(99))/1000, "ms-p99")
 }
 
-// BenchmarkLeaderLoss measures the time from the loss of a leader, without a
-// word, to the next acknowledged change.
+// BenchmarkLeaderLoss measures the time from the crash of a leader to the next
+// acknowledged change.
 func BenchmarkLeaderLoss(b *testing.B) {
 	for range b.N {
 		b.StopTimer()
@@ -73,8 +73,8 @@
 	}
 }
 
-// BenchmarkRestart measures how long a member takes to open its data folder,
-// per number of changes, with the default spacing of snapshots.
+// BenchmarkRestart measures how long a member takes to open its data folder, by the
+// number of changes, with the default snapshot interval.
 func BenchmarkRestart(b *testing.B) {
 	for _, changes := range []int{1_000, 9_000, 25_000} {
 		b.Run(fmt.Sprintf("changes=%d", changes), func(b *testing.B) { benchmarkRestart(b, changes) })
@@ -94,7 +94,7 @@
 		})
 	}
 	wait.Wait()
-	for i := range 3 { // the commit index rides along with the next write
+	for i := range 3 { // the commit index is sent with the next write
 		c.propose(fmt.Sprint("last-", i))
 	}
 	snapshotBytes := v.host.Status()[0].SnapshotBytes
@@ -117,8 +117,8 @@
 	b.ReportMetric(float64(logBytes), "log-bytes")
 }
 
-// BenchmarkIdle measures what the members of quiet groups cost: bytes a second
-// on the connections of all of them together, and the process's time.
+// BenchmarkIdle measures the cost of the members of idle groups: bytes per second on
+// the connections of all members together, and the processor time of the process.
 func BenchmarkIdle(b *testing.B) {
 	for _, groups := range []uint32{1, 4, 16} {
 		b.Run(fmt.Sprintf("groups=%d", groups), func(b *testing.B) {
@@ -136,6 +136,7 @@
 	}
 }
 
+// bytes returns the bytes sent and received on the connections that the VMs opened.
 func (c *cluster) bytes() int64 {
 	sum := int64(0)
 	for _, v := range c.vms {
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -18,7 +18,7 @@
 	"slateway.example/slateway/internal/wal"
 )
 
-// ledger is a machine that appends each entry to a file and counts them.
+// ledger is a state machine that appends each entry to a file and counts them.
 type ledger struct {
 	path string
 
@@ -77,7 +77,7 @@
 	return m.seen[data]
 }
 
-// vm is one in-process host on loopback.
+// vm is one in-process host on the loopback interface.
 type vm struct {
 	name, address, folder string
 	voters                []Voter
@@ -87,23 +87,24 @@
 	network               *faultyNetwork
 }
 
-// faultyNetwork makes a VM's calls, in and out, hang without an error, or only the
-// connections that it has opened.
+// faultyNetwork makes all calls of a VM, incoming and outgoing, hang without an error,
+// or only those on connections that it has opened.
 type faultyNetwork struct {
 	transport http.Transport
-	bytes     atomic.Int64 // sent and received on connections opened here
+	bytes     atomic.Int64 // sent and received on connections opened by this VM
 
 	mu      sync.Mutex
 	hanging bool
 	conns   []*blackholeConn
 }
 
-// blackholeConn is a connection that something between its ends can lose track
-// of: writes vanish and reads wait until it is closed.
+// blackholeConn is a connection that stays open without passing data, as when a
+// middlebox has lost its state: writes are discarded and reads block until it is
+// closed.
 type blackholeConn struct {
 	net.Conn
 	blackholed atomic.Bool
-	bytes      *atomic.Int64 // of all connections that the VM has opened
+	bytes      *atomic.Int64 // shared by all connections that the VM has opened
 	closed     chan struct{}
 	once       sync.Once
 }
@@ -144,7 +145,8 @@
 	return tracked, nil
 }
 
-// blackholeConnections makes the connections that are open now go silent for good.
+// blackholeConnections makes the currently open connections discard all data
+// permanently.
 func (s *faultyNetwork) blackholeConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,6 +168,7 @@
 	s.hanging = on
 }
 
+// hangIfSet blocks until ctx ends if the network hangs, and reports whether it does.
 func (s *faultyNetwork) hangIfSet(ctx context.Context) bool {
 	s.mu.Lock()
 	on := s.hanging
@@ -191,7 +194,7 @@
 	configure func(*Config)
 }
 
-// startCluster begins count VMs, of which the first voters are initial members.
+// startCluster starts count VMs, of which the first voters are initial members.
 func startCluster(t testing.TB, count, voters int, set func(*Config)) *cluster {
 	t.Helper()
 	c := &cluster{t: t, configure: set}
@@ -260,7 +263,7 @@
 	return nil
 }
 
-// kill ends the host without handing leadership over.
+// kill stops the host without transferring leadership.
 func (v *vm) kill() {
 	_ = v.server.Close()
 	v.host.shutdown()
@@ -287,10 +290,10 @@
 			return
 		}
 	}
-	c.t.Fatalf("not within %v: %s", testTimeout, what)
+	c.t.Fatalf("condition not met within %v: %s", testTimeout, what)
 }
 
-// leader waits for a VM that leads group 0, other than those given.
+// leader waits for a VM that leads group 0, other than the given ones.
 func (c *cluster) leader(except ...*vm) *vm {
 	c.t.Helper()
 	var found *vm
@@ -310,7 +313,7 @@
 	return found
 }
 
-// memberStatus gives the leader's view of a member of group 0.
+// memberStatus returns the leader's view of a member of group 0.
 func (c *cluster) memberStatus(v *vm) MemberStatus {
 	for _, m := range c.leader().host.Status()[0].Members {
 		if m.VM == v.name {
@@ -320,7 +323,8 @@
 	return MemberStatus{}
 }
 
-// idleTicks gives for how long the leader of group 0 has not heard a member.
+// idleTicks returns the ticks since the leader of group 0 last had contact with a
+// member.
 func (c *cluster) idleTicks(v *vm) int {
 	g := c.leader().host.groups[0]
 	g.mu.Lock()
@@ -333,8 +337,8 @@
 	return 0
 }
 
-// propose proposes data at whichever VM leads, until it is acknowledged. After
-// an unknown outcome it asks the next leader whether the propose was made.
+// propose proposes data to the current leader until it is acknowledged. After an
+// unknown outcome it asks the next leader whether the change was applied.
 func (c *cluster) propose(data string) {
 	c.t.Helper()
 	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); {
@@ -344,11 +348,11 @@
 			return
 		}
 	}
-	c.t.Error("no leader took the change")
+	c.t.Error("no leader accepted the change")
 }
 
-// wasApplied looks at the state of a leader after a barrier: an entry that is not
-// there by then can never be committed.
+// wasApplied reports whether data is in the state of a leader after a read barrier; an
+// entry that is missing by then can never be committed.
 func (c *cluster) wasApplied(data string) bool {
 	made := false
 	c.eventually("a read barrier", func() bool {
@@ -388,7 +392,7 @@
 	return others
 }
 
-// failSync makes the syncs of a log fail once it is set.
+// failSync is a log file whose syncs fail while fail returns true.
 type failSync struct {
 	wal.File
 	fail func() bool
--- a/internal/replica/host_test.go
+++ b/internal/replica/host_test.go
@@ -16,8 +16,8 @@
 	"slateway.example/slateway/internal/wal"
 )
 
-// The VM that leads is lost right after it acknowledged a change. Another one
-// leads, has the change, and goes on; the lost one comes back and catches up.
+// The leader crashes right after it acknowledged a change. Another voter that has the
+// change becomes leader; the crashed member restarts and catches up.
 func TestLeaderIsLost(t *testing.T) {
 	c := startCluster(t, 3, 3, nil)
 	c.propose("first")
@@ -33,10 +33,10 @@
 	c.expectApplied(lost, "second")
 }
 
-// A partition cuts the leader off without closing a connection. Operators still
-// talk to it: its reads and changes must fail instead of showing old state or
-// hanging, and it must give up its office, while the others go on. When the
-// partition heals, its own change that nobody acknowledged is gone.
+// A partition isolates the leader without closing a connection. Reads and changes at
+// the isolated leader must fail instead of returning stale state or hanging, and it
+// must give up leadership while the other members continue. After the partition its
+// own unacknowledged change is not applied twice.
 func TestLeaderIsIsolatedSilently(t *testing.T) {
 	c := startCluster(t, 3, 3, nil)
 	c.propose("first")
@@ -52,10 +52,10 @@
 	var unknown *OutcomeUnknownError
 	var elsewhere *NotLeaderError
 	if !errors.As(err, &unknown) && !errors.As(err, &elsewhere) {
-		t.Errorf("a leader without a majority answered %v", err)
+		t.Errorf("proposal at a leader without a majority returned %v", err)
 	}
 	if took := time.Since(started); took > testTimeout/2 {
-		t.Errorf("it took %v to fail", took)
+		t.Errorf("read and proposal took %v to fail", took)
 	}
 	c.eventually("the isolated VM no longer leads", func() bool { return !isolated.host.Status()[0].Leads })
 	next := c.leader(isolated)
@@ -69,10 +69,10 @@
 	}
 }
 
-// A disk is lost and its VM starts with a blank one. The blank disk must not
-// begin a second group, must not vote as the old member, and takes its place
-// only with the whole log. Right after that a second VM is lost: everything
-// acknowledged is there and the group goes on.
+// A VM loses its disk and starts with a blank one. The blank disk must not bootstrap a
+// second group, must not vote under the identity of the old member, and replaces it
+// only once it holds the whole log. When a second VM fails right afterwards, all
+// acknowledged changes are still there and the group continues.
 func TestSecondLossRightAfterReplacement(t *testing.T) {
 	c := startCluster(t, 3, 3, func(config *Config) {
 		config.ReplaceAfter = time.Second
@@ -109,17 +109,17 @@
 	c.expectApplied(lost, "after")
 }
 
-// An operator replaces a member by hand, onto a spare VM.
+// An operator replaces a member manually by a standby VM.
 func TestOperatorReplacesMember(t *testing.T) {
 	c := startCluster(t, 4, 3, func(config *Config) { config.Groups = 3 })
 	c.propose("first")
-	spare := c.vms[3]
+	standby := c.vms[3]
 	lost := c.others(c.leader())[0]
 	lost.kill()
-	c.eventually("the order is taken", func() bool {
-		return c.leader().host.ReplaceMember(context.Background(), lost.name, spare.name) == nil
+	c.eventually("the replacement request is accepted", func() bool {
+		return c.leader().host.ReplaceMember(context.Background(), lost.name, standby.name) == nil
 	})
-	c.eventually("the spare votes and the lost VM is gone", func() bool {
+	c.eventually("the standby is a voter and the lost VM is removed", func() bool {
 		for _, s := range c.leader().host.LeaderStatus(context.Background()) {
 			if !s.Leads || len(s.Members) != 3 || s.Tolerance != 1 {
 				return false
@@ -127,11 +127,11 @@
 		}
 		return true
 	})
-	c.expectApplied(spare, "first")
+	c.expectApplied(standby, "first")
 }
 
-// All VMs restart after a thousand changes, over several snapshots. Each change
-// is there once, in files and in memory.
+// All VMs restart after a thousand changes and several snapshots. Each change is
+// applied exactly once, in files and in memory.
 func TestAllRestartAfterThousandChanges(t *testing.T) {
 	c := startCluster(t, 3, 3, func(config *Config) { config.SnapshotEntries = 300 })
 	var wait sync.WaitGroup
@@ -159,8 +159,8 @@
 	c.propose("after")
 }
 
-// The disk under the leader reports one failed sync, then works again. What it
-// holds is uncertain: the VM must stop for good and the others go on with all
+// The leader's disk reports one failed sync and then works again. What it holds is
+// uncertain, so the VM must stop permanently, and the others continue with everything
 // that was acknowledged.
 func TestSyncErrorStopsTheMember(t *testing.T) {
 	var failing atomic.Pointer[string]
@@ -181,11 +181,11 @@
 	failing.Store(nil)
 	<-bad.host.Done()
 	if bad.host.Err() == nil {
-		t.Error("the failed disk is not reported")
+		t.Error("Err does not report the failed disk")
 	}
 	var stopped *StoppedError
 	if err := c.tryPropose(bad, "third"); !errors.As(err, &stopped) {
-		t.Errorf("a stopped member answered %v", err)
+		t.Errorf("proposal at a stopped member returned %v, want StoppedError", err)
 	}
 	c.propose("fourth")
 	for _, v := range c.others(bad) {
@@ -194,10 +194,9 @@
 	}
 }
 
-// The disk under the leader hangs in a sync without an error. Its heartbeats go
-// on, so the others would follow it for good while every change that it takes
-// waits. It must give up its office; when the disk answers again, the member
-// catches up.
+// Guards against a leader whose disk hangs in a sync without an error. Its heartbeats
+// continue, so the others would follow it indefinitely while every proposal waits. It
+// must give up leadership, and catch up when the disk responds again.
 func TestDiskOfTheLeaderHangs(t *testing.T) {
 	var hanging atomic.Pointer[string]
 	released := make(chan struct{})
@@ -227,9 +226,9 @@
 	c.expectApplied(bad, "second")
 }
 
-// Something between the VMs loses track of their connections: they stay open
-// and nothing passes, while new ones work. The members must notice and open new
-// ones; without the bound on a call the group would stand still for good.
+// A middlebox loses its state: existing connections stay open without passing data,
+// while new ones work. The members must notice and open new connections; without the
+// timeout of a call the group would stop permanently.
 func TestConnectionsGoSilent(t *testing.T) {
 	c := startCluster(t, 3, 3, nil)
 	for i := range 3 {
@@ -244,9 +243,9 @@
 	}
 }
 
-// A member was away for long. While a snapshot of some megabytes is on its way
-// to it, changes go on and the leader takes further snapshots. The member must
-// catch up by that one transfer, or a busy group could never be made whole.
+// A member returns after a long absence. Changes continue and the leader takes further
+// snapshots while a snapshot of a few megabytes is sent to the member. It must catch
+// up with that one transfer; otherwise a member of a busy group could never catch up.
 func TestMemberCatchesUpWhileChangesGoOn(t *testing.T) {
 	const size = 16 << 10
 	core, logged := observer.New(zap.InfoLevel)
@@ -255,11 +254,11 @@
 		config.SnapshotEntries = 20
 		config.KeepEntries = 10
 		config.TransferRate = 4 << 20
-		config.ElectionTicks = 3 * defaultElectionTicks // no other leader meanwhile
+		config.ElectionTicks = 3 * defaultElectionTicks // prevents an election during the test
 	})
 	away := c.others(c.leader())[0]
 	away.kill()
-	c.eventually("the member counts as away", func() bool {
+	c.eventually("the leader has lost contact with the member", func() bool {
 		return c.idleTicks(away) > 3*defaultElectionTicks
 	})
 	for i := range 100 {
@@ -281,23 +280,23 @@
 			}
 		})
 	}
-	c.eventually("the member takes entries one by one", func() bool {
+	c.eventually("the member receives log entries", func() bool {
 		m := c.memberStatus(away)
 		return m.Reachable && m.Match > reached
 	})
 	close(stop)
 	wait.Wait()
 	if sent := c.leader().host.config.Metrics.Value(metricTransfers); sent != 1 {
-		t.Errorf("%d snapshots were sent to catch up %s", sent, away.host.self.ID)
+		t.Errorf("%d snapshots were sent to member %s, want 1", sent, away.host.self.ID)
 		for _, entry := range logged.FilterMessageSnippet("snapshot").All() {
 			t.Log(entry.Time, entry.Message, entry.ContextMap())
 		}
 	}
 }
 
-// All VMs start for the first time and one loses its disk before the group has
-// begun, while another is down. Neither the blank disk nor the rest may begin a
-// group of their own; with all of them back there is one group.
+// A VM loses its disk, and the VMs restart while one of them is still down. Neither
+// the blank disk nor the others may bootstrap a new group; once all VMs are back there
+// is one group.
 func TestBootstrapWaitsForAll(t *testing.T) {
 	c := startCluster(t, 3, 3, func(config *Config) {})
 	c.propose("first")
@@ -312,7 +311,7 @@
 	c.restart(c.vms[1])
 	time.Sleep(5 * minHelloInterval)
 	if first.host.hasGroups() && len(first.host.Status()[0].Members) == 0 || first.host.Status()[0].Leads {
-		t.Error("a blank disk began a group while others hold one")
+		t.Error("a blank disk bootstrapped a group while others hold one")
 	}
 	c.restart(c.vms[2])
 	c.propose("second")
--- a/internal/replica/locate.go
+++ b/internal/replica/locate.go
@@ -28,7 +28,7 @@
 	foundAt time.Time
 }
 
-// LocateLeaders searches for the leaders of the groups for which this VM neither knows
+// Locate searches for the leaders of the groups for which this VM neither knows
 // a leader nor has located one recently, because it is not, or no longer, a member.
 // Members and calls that need a leader use the results.
 func (h *Host) Locate(ctx context.Context) {
--- a/internal/replica/locate_test.go
+++ b/internal/replica/locate_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Guards against a VM that is never counted as emptied, since the VM that asks is no member of the group of jobs.
+// Guards against a VM that is never reported as retired because the VM that asks is
+// not a member of the group of jobs.
 func TestAVMThatIsNoMemberFindsTheLeader(t *testing.T) {
 	const jobs = 1
 	classes := map[string]string{"vm-0": "control", "vm-1": "control", "vm-2": "control"}
@@ -26,7 +27,7 @@
 		}
 	})
 	control := c.vms[0]
-	c.eventually("the group of jobs has moved to the stores", func() bool {
+	c.eventually("all members of the jobs group are store VMs", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		status := control.host.LeaderStatus(ctx)[jobs]
@@ -40,16 +41,16 @@
 		}
 		return true
 	})
-	c.eventually("the control VM knows no leader by itself", func() bool {
+	c.eventually("the control VM follows no leader of the jobs group", func() bool {
 		_, known := control.host.Leader(jobs)
 		return !known
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	// A search may end without a leader, and a VM that has just been removed follows
-	// its last one for an election timeout; the role that searches repeats it.
+	// A search may find no leader, and a VM that was just removed follows its last
+	// leader for an election timeout; the caller of Locate repeats it.
 	var stores []string
-	c.eventually("a caller is sent on to the leader, and the members are known", func() bool {
+	c.eventually("calls are redirected to the leader, and the members are known", func() bool {
 		control.host.Locate(ctx)
 		stores = nil
 		for _, m := range control.host.Members() {
@@ -61,7 +62,7 @@
 		_, err := control.host.Propose(ctx, jobs, nil)
 		return errors.As(err, &refused) && refused.Address != "" && len(stores) == 3
 	})
-	c.eventually("the VM is emptied", func() bool {
+	c.eventually("the VM is retired from all groups", func() bool {
 		left, err := control.host.Retire(ctx, stores[:1])
 		return err == nil && len(left) == 0
 	})
--- a/internal/replica/replacement.go
+++ b/internal/replica/replacement.go
@@ -30,7 +30,7 @@
 	h.candidates[member.ID] = candidate{member: member, lastContact: time.Now()}
 }
 
-// RecordCandidates records blank members that contacted another VM.
+// NoteCandidates records blank members that contacted another VM.
 func (h *Host) NoteCandidates(members []quorum.Member) {
 	for _, member := range members {
 		h.recordCandidate(member)
--- a/internal/replica/sendqueue_test.go
+++ b/internal/replica/sendqueue_test.go
@@ -15,9 +15,10 @@
 	return envelope{Group: 1, Message: quorum.Message{Type: quorum.MsgAppend, To: to, Entries: []quorum.Entry{entry}}}
 }
 
-// A VM freezes for eight seconds. When it wakes it is handed eighty heartbeats
-// that waited for it and answers each: its leader sees eighty answers without
-// progress and takes the appends that are still on their way for lost.
+// Guards against a backlog of heartbeats: a VM that froze for eight seconds received
+// the eighty heartbeats that were queued for it and responded to each. Its leader saw
+// eighty responses without progress and treated the appends that were still on their
+// way as lost.
 func TestOneHeartbeatOfAGroupAndTermWaits(t *testing.T) {
 	var q sendQueue
 	q.add(appendTo(2, 1))
@@ -28,10 +29,10 @@
 	q.add(heartbeatTo(2, 2, 81))
 	sent := q.takeBatch()
 	if len(sent) != 4 {
-		t.Fatalf("%d messages wait, 4 were expected", len(sent))
+		t.Fatalf("%d messages were queued, want 4", len(sent))
 	}
 	if sent[1].Message.Round != 80 {
-		t.Errorf("the heartbeat that is sent confirms round %d, the newest was 80", sent[1].Message.Round)
+		t.Errorf("the queued heartbeat has round %d, want 80", sent[1].Message.Round)
 	}
 }
 
@@ -43,7 +44,7 @@
 	q.add(appendTo(2, maxBatchBytes/2))
 	for i, want := range []int{1, 2, 1, 0} {
 		if got := len(q.takeBatch()); got != want {
-			t.Errorf("call %d carries %d messages, %d were expected", i, got, want)
+			t.Errorf("call %d carries %d messages, want %d", i, got, want)
 		}
 	}
 }
@@ -54,6 +55,6 @@
 		q.add(appendTo(2, 1))
 	}
 	if len(q.envelopes) != maxQueued {
-		t.Errorf("%d messages wait", len(q.envelopes))
+		t.Errorf("%d messages are queued", len(q.envelopes))
 	}
 }
