--- a/internal/replica/bootstrap.go
+++ b/internal/replica/bootstrap.go
@@ -38,7 +38,8 @@
 // groups.
 type helloResponse struct {
 	Member quorum.Member `cbor:"1,keyasint"`
-	// HasGroups reports that the responding member holds the membership of a group.
+	// HasGroups reports that the responding member knows the initial membership or
+	// holds data of a group.
 	HasGroups bool `cbor:"2,keyasint,omitempty"`
 	// Initial is the membership that the groups were bootstrapped with, if known here.
 	Initial *quorum.Membership `cbor:"3,keyasint,omitempty"`
@@ -179,16 +180,16 @@
 	interval := minHelloInterval
 	var contacts []string
 	for round := 0; h.anyLogEmpty(); round++ {
-		answers := h.helloAll(h.helloTargets(round, contacts))
-		initial, ok := h.decideInitial(answers)
-		if ok && (anyInitial(answers) || !h.hasGroups()) {
+		responses := h.helloAll(h.helloTargets(round, contacts))
+		initial, ok := h.decideInitial(responses)
+		if ok && (anyInitial(responses) || !h.hasGroups()) {
 			if err := h.adoptInitial(initial); err != nil {
 				h.fail(err)
 				return
 			}
 			break
 		}
-		contacts = contactsOf(answers, h.self.Address)
+		contacts = contactsOf(responses, h.self.Address)
 		if !h.mayBootstrap() {
 			interval = min(interval*3/2, maxHelloInterval)
 		}
@@ -204,8 +205,8 @@
 // anyInitial reports whether a response contains the membership that the groups were
 // bootstrapped with. decideInitial lets a member adopt it only if it includes that
 // member.
-func anyInitial(answers []helloResponse) bool {
-	return slices.ContainsFunc(answers, func(answer helloResponse) bool { return answer.Initial != nil })
+func anyInitial(responses []helloResponse) bool {
+	return slices.ContainsFunc(responses, func(response helloResponse) bool { return response.Initial != nil })
 }
 
 // mayBootstrap reports whether this VM is one of those that bootstrap the groups
@@ -235,10 +236,10 @@
 }
 
 // contactsOf returns the contacts listed in the responses.
-func contactsOf(answers []helloResponse, self string) []string {
+func contactsOf(responses []helloResponse, self string) []string {
 	var addresses []string
-	for _, answer := range answers {
-		addresses = append(addresses, answer.Contacts...)
+	for _, response := range responses {
+		addresses = append(addresses, response.Contacts...)
 	}
 	slices.Sort(addresses)
 	return slices.DeleteFunc(slices.Compact(addresses), func(address string) bool { return address == self })
@@ -253,28 +254,28 @@
 	for _, address := range addresses {
 		go func() { results <- h.hello(address, request) }()
 	}
-	var answers []helloResponse
+	var responses []helloResponse
 	for range addresses {
-		if answer := <-results; answer != nil {
-			answers = append(answers, *answer)
+		if response := <-results; response != nil {
+			responses = append(responses, *response)
 		}
 	}
-	for _, contact := range contactsOf(answers, h.self.Address) {
+	for _, contact := range contactsOf(responses, h.self.Address) {
 		if !slices.Contains(addresses, contact) {
 			h.spawn(func() { h.hello(contact, request) })
 		}
 	}
-	return answers
+	return responses
 }
 
 func (h *Host) hello(address string, request helloRequest) *helloResponse {
 	ctx, cancel := context.WithTimeout(h.ctx, helloTimeout)
 	defer cancel()
-	answer, err := rpc.Call(ctx, h.transport.client, address, procedureHello, &request)
+	response, err := rpc.Call(ctx, h.transport.client, address, procedureHello, &request)
 	if err != nil {
 		return nil
 	}
-	return answer
+	return response
 }
 
 // decideInitialFromVoters returns the membership with which a blank member starts, and
@@ -286,37 +287,37 @@
 // one: at least one other member would report the existing group. The others adopt the
 // choice, which they learn from hello responses, if it lists the ID of their disk. A
 // disk that was replaced after the choice is not listed and joins as a replacement.
-func decideInitialFromVoters(self quorum.Member, voters []Voter, answers []helloResponse) (quorum.Membership, bool) {
+func decideInitialFromVoters(self quorum.Member, voters []Voter, responses []helloResponse) (quorum.Membership, bool) {
 	members := []quorum.Member{self}
 	names := make([]string, len(voters))
 	for i, voter := range voters {
 		names[i] = voter.VM
 	}
 	slices.Sort(names)
-	for _, answer := range answers {
-		if answer.Initial != nil {
-			_, named := answer.Initial.Find(self.ID)
-			return *answer.Initial, named
+	for _, response := range responses {
+		if response.Initial != nil {
+			_, listed := response.Initial.Find(self.ID)
+			return *response.Initial, listed
 		}
-		if answer.HasGroups {
+		if response.HasGroups {
 			return quorum.Membership{}, false
 		}
-		if slices.Contains(names, answer.Member.VM) && slices.Equal(names, answer.Voters) {
-			members = append(members, answer.Member)
+		if slices.Contains(names, response.Member.VM) && slices.Equal(names, response.Voters) {
+			members = append(members, response.Member)
 		}
 	}
-	answered := map[string]bool{}
+	responded := map[string]bool{}
 	for _, member := range members {
-		answered[member.VM] = true
+		responded[member.VM] = true
 	}
-	return quorum.NewMembership(members...), self.VM == names[0] && len(answered) == len(names)
+	return quorum.NewMembership(members...), self.VM == names[0] && len(responded) == len(names)
 }
 
-func (h *Host) decideInitial(answers []helloResponse) (quorum.Membership, bool) {
+func (h *Host) decideInitial(responses []helloResponse) (quorum.Membership, bool) {
 	if len(h.config.Seeds) > 0 {
-		return decideInitialFromSeeds(h.selfMember(), h.config.Seeds, h.config.Found, answers)
+		return decideInitialFromSeeds(h.selfMember(), h.config.Seeds, h.config.Found, responses)
 	}
-	return decideInitialFromVoters(h.selfMember(), h.config.Voters, answers)
+	return decideInitialFromVoters(h.selfMember(), h.config.Voters, responses)
 }
 
 // decideInitialFromSeeds returns the membership with which a blank member that knows
@@ -324,28 +325,28 @@
 //
 // The VM at the lowest seed address chooses once, after the members at all seed
 // addresses have responded and none of them holds a group. The others adopt the choice
-// if it lists their disk. A VM that starts later, or returns with a blank disk, is not
-// configured to bootstrap: otherwise its group could exist beside the one that the
-// others hold, and both would acknowledge changes.
-func decideInitialFromSeeds(self quorum.Member, seeds []string, found bool, answers []helloResponse) (quorum.Membership, bool) {
+// if it lists their disk. A VM that starts later, or returns with a blank disk, must
+// not be configured to bootstrap: its group could exist beside the one that the others
+// hold, and both would acknowledge changes.
+func decideInitialFromSeeds(self quorum.Member, seeds []string, bootstrap bool, responses []helloResponse) (quorum.Membership, bool) {
 	members := map[string]quorum.Member{self.Address: self}
-	for _, answer := range answers {
-		if answer.Initial != nil {
-			_, named := answer.Initial.Find(self.ID)
-			return *answer.Initial, named
+	for _, response := range responses {
+		if response.Initial != nil {
+			_, listed := response.Initial.Find(self.ID)
+			return *response.Initial, listed
 		}
-		if answer.HasGroups {
+		if response.HasGroups {
 			return quorum.Membership{}, false
 		}
-		members[answer.Member.Address] = answer.Member
+		members[response.Member.Address] = response.Member
 	}
-	if !found || slices.Min(seeds) != self.Address {
+	if !bootstrap || slices.Min(seeds) != self.Address {
 		return quorum.Membership{}, false
 	}
 	var initial []quorum.Member
 	for _, seed := range seeds {
-		member, answered := members[seed]
-		if !answered {
+		member, responded := members[seed]
+		if !responded {
 			return quorum.Membership{}, false
 		}
 		initial = append(initial, member)
--- a/internal/replica/bootstrap_test.go
+++ b/internal/replica/bootstrap_test.go
@@ -29,9 +29,9 @@
 	joined := helloResponse{Member: member("b", 7), HasGroups: true, Voters: names}
 	otherList := helloResponse{Member: member("c", 3), Voters: []string{"a", "b", "d"}}
 	for name, tc := range map[string]struct {
-		self    quorum.Member
-		answers []helloResponse
-		may     bool
+		self      quorum.Member
+		responses []helloResponse
+		may       bool
 	}{
 		"first voter bootstraps when all are blank": {member("a", 1), []helloResponse{blank("b", 2), blank("c", 3)}, true},
 		"other voters never bootstrap":              {member("b", 2), []helloResponse{blank("a", 1), blank("c", 3)}, false},
@@ -43,7 +43,7 @@
 		"group held by a member that joined later":  {member("a", 9), []helloResponse{joined, blank("c", 3)}, false},
 		"standby never bootstraps":                  {member("x", 5), []helloResponse{blank("a", 1), blank("b", 2), blank("c", 3)}, false},
 	} {
-		got, may := decideInitialFromVoters(tc.self, voters, tc.answers)
+		got, may := decideInitialFromVoters(tc.self, voters, tc.responses)
 		if may != tc.may {
 			t.Errorf("%s: may start = %t", name, may)
 		}
@@ -65,10 +65,10 @@
 	holder := helloResponse{Member: member("2", 2), HasGroups: true, Initial: &begun}
 	joined := helloResponse{Member: member("2", 7), HasGroups: true}
 	for name, tc := range map[string]struct {
-		self    quorum.Member
-		found   bool
-		answers []helloResponse
-		may     bool
+		self      quorum.Member
+		bootstrap bool
+		responses []helloResponse
+		may       bool
 	}{
 		"lowest seed bootstraps when all are blank": {member("1", 1), true, []helloResponse{blank("2", 2), blank("3", 3), blank("4", 4)}, true},
 		"other seeds never bootstrap":               {member("2", 2), true, []helloResponse{blank("1", 1), blank("3", 3)}, false},
@@ -79,7 +79,7 @@
 		"group held by a member that joined later":  {member("1", 9), true, []helloResponse{joined, blank("3", 3)}, false},
 		"VM that is not a seed never bootstraps":    {member("4", 4), true, []helloResponse{blank("1", 1), blank("2", 2), blank("3", 3)}, false},
 	} {
-		got, may := decideInitialFromSeeds(tc.self, seeds, tc.found, tc.answers)
+		got, may := decideInitialFromSeeds(tc.self, seeds, tc.bootstrap, tc.responses)
 		if may != tc.may {
 			t.Errorf("%s: may start = %t", name, may)
 		}
@@ -182,12 +182,12 @@
 	mux := http.NewServeMux()
 	founder := quorum.Member{ID: 1, VM: "a"}
 	rpc.Handle(mux, procedureHello, maxBody, func(_ context.Context, request *helloRequest) (*helloResponse, error) {
-		answer := &helloResponse{Member: founder, Voters: []string{"a", "b", "c"}}
+		response := &helloResponse{Member: founder, Voters: []string{"a", "b", "c"}}
 		if chosen.Load() {
 			initial := quorum.NewMembership(founder, quorum.Member{ID: 2, VM: "b"}, request.Member)
-			answer.Initial, answer.HasGroups = &initial, true
+			response.Initial, response.HasGroups = &initial, true
 		}
-		return answer, nil
+		return response, nil
 	})
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -83,13 +83,13 @@
 }
 
 // startNode creates the consensus node from the recovered log and snapshot.
-func (g *group) startNode(found *recoveredLog) error {
+func (g *group) startNode(recovered *recoveredLog) error {
 	meta := g.lastSnapshot.Meta
 	if meta.Index == 0 && g.host.initial != nil {
 		meta = quorum.Bootstrap(g.host.initial.Membership)
 	}
 	node, err := quorum.New(g.nodeConfig(), quorum.Restored{
-		HardState: found.state, Snapshot: meta, Entries: found.entriesAfter(meta),
+		HardState: recovered.state, Snapshot: meta, Entries: recovered.entriesAfter(meta),
 	})
 	if err != nil {
 		return fmt.Errorf("group %d: %w", g.id, err)
@@ -147,9 +147,9 @@
 		outbox.Messages = nil
 	}
 	for _, confirmed := range outbox.Reads {
-		if waiting := g.reads[confirmed.ID]; waiting != nil {
-			waiting.index = confirmed.Index
-			g.finishRead(confirmed.ID, waiting)
+		if pending := g.reads[confirmed.ID]; pending != nil {
+			pending.index = confirmed.Index
+			g.finishRead(confirmed.ID, pending)
 		}
 	}
 	for _, to := range outbox.Snapshots {
@@ -325,7 +325,7 @@
 		g.finishProposal(entry, results[i])
 	}
 	g.applied = entries[len(entries)-1].Index
-	for id, waiting := range g.reads {
-		g.finishRead(id, waiting)
+	for id, pending := range g.reads {
+		g.finishRead(id, pending)
 	}
 }
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -96,12 +96,12 @@
 	if err := h.loadInitial(); err != nil {
 		return err
 	}
-	found := make([]recoveredLog, h.config.Groups)
+	recovered := make([]recoveredLog, h.config.Groups)
 	h.log, err = wal.Open(filepath.Join(folder, logFolder), h.config.WAL, func(record wal.Record) error {
 		if record.Group >= h.config.Groups {
 			return fmt.Errorf("the log holds records of group %d but the settings configure %d groups; the number cannot be changed after bootstrap, restore the previous setting", record.Group, h.config.Groups)
 		}
-		return found[record.Group].addRecord(record)
+		return recovered[record.Group].addRecord(record)
 	})
 	if err != nil {
 		return err
@@ -109,7 +109,7 @@
 	for id := range h.config.Groups {
 		g, err := openGroup(h, id)
 		if err == nil {
-			err = g.startNode(&found[id])
+			err = g.startNode(&recovered[id])
 		}
 		if err != nil {
 			return errors.Join(err, h.log.Close())
@@ -134,13 +134,13 @@
 		return nil, err
 	}
 	h.transport.recordAddress(b.From, b.Address)
-	answers := make([]outbound, 0, len(b.Envelopes))
+	responses := make([]outbound, 0, len(b.Envelopes))
 	for _, e := range b.Envelopes {
 		if e.Group < uint32(len(h.groups)) {
-			answers = append(answers, h.groups[e.Group].step(e.Message))
+			responses = append(responses, h.groups[e.Group].step(e.Message))
 		}
 	}
-	h.transport.send(answers...)
+	h.transport.send(responses...)
 	return &ack{}, nil
 }
 
@@ -299,8 +299,8 @@
 	for _, g := range h.groups {
 		g.mu.Lock()
 		g.failProposals(&StoppedError{Cause: h.Err()})
-		for id, waiting := range g.reads {
-			waiting.done <- &StoppedError{Cause: h.Err()}
+		for id, pending := range g.reads {
+			pending.done <- &StoppedError{Cause: h.Err()}
 			delete(g.reads, id)
 		}
 		g.mu.Unlock()
--- a/internal/replica/locate.go
+++ b/internal/replica/locate.go
@@ -136,13 +136,13 @@
 		}
 		asked[address] = true
 		calls.Go(func() {
-			answer, err := rpc.Call(ctx, h.transport.client, address, procedureStatus, &statusRequest{})
-			if err != nil || int(id) >= len(answer.Groups) {
+			response, err := rpc.Call(ctx, h.transport.client, address, procedureStatus, &statusRequest{})
+			if err != nil || int(id) >= len(response.Groups) {
 				return // the other addresses are queried as well
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			found[address] = answer.Groups[id]
+			found[address] = response.Groups[id]
 		})
 	}
 	calls.Wait()
--- a/internal/replica/orders.go
+++ b/internal/replica/orders.go
@@ -119,28 +119,28 @@
 func (g *group) scheduleReplacement(request *replaceRequest, candidates []quorum.Member) error {
 	members := g.node.Membership().Members
 	onNew := func(m quorum.Member) bool { return m.VM == request.NewVM }
-	blank := slices.IndexFunc(candidates, onNew)
-	var old, fresh *quorum.Member
+	candidate := slices.IndexFunc(candidates, onNew)
+	var oldMember, newMember *quorum.Member
 	for i, member := range members {
 		switch {
-		case blank >= 0 && member.ID == candidates[blank].ID, member.VM == request.NewVM && member.Learner:
-			fresh = &members[i]
-		case member.VM == request.OldVM && old == nil:
-			old = &members[i]
+		case candidate >= 0 && member.ID == candidates[candidate].ID, member.VM == request.NewVM && member.Learner:
+			newMember = &members[i]
+		case member.VM == request.OldVM && oldMember == nil:
+			oldMember = &members[i]
 		}
 	}
-	if fresh == nil && blank >= 0 {
-		fresh = &candidates[blank]
+	if newMember == nil && candidate >= 0 {
+		newMember = &candidates[candidate]
 	}
 	switch {
-	case old == nil && fresh != nil:
+	case oldMember == nil && newMember != nil:
 		return nil
-	case old == nil:
+	case oldMember == nil:
 		return apierr.New(apierr.NotFound, "no_member", "check the list of members", "group %d has no member on VM %s", g.id, request.OldVM)
-	case fresh == nil:
+	case newMember == nil:
 		return apierr.New(apierr.Conflict, ReasonNoCandidate, "start its daemon with an empty data folder first",
 			"no blank member on VM %s has contacted this leader", request.NewVM)
 	}
-	g.pendingReplacement = &replacement{Old: old.ID, New: *fresh}
+	g.pendingReplacement = &replacement{Old: oldMember.ID, New: *newMember}
 	return nil
 }
--- a/internal/replica/repairview.go
+++ b/internal/replica/repairview.go
@@ -52,8 +52,8 @@
 	if blank, ok := v.newDiskOfMember(); ok {
 		return quorum.Change{Kind: quorum.AddLearner, Member: blank}, true
 	}
-	_, retires := v.retiringMember()
-	if blank, ok := v.standby(); ok && (voters < v.target || retires || v.improvesClass(blank)) {
+	_, retiring := v.retiringMember()
+	if blank, ok := v.standby(); ok && (voters < v.target || retiring || v.improvesClass(blank)) {
 		return quorum.Change{Kind: quorum.AddLearner, Member: blank}, true
 	}
 	if blank, ok := v.standby(); ok && v.needsReplacement(voters, blank) {
--- a/internal/replica/snapshot.go
+++ b/internal/replica/snapshot.go
@@ -92,9 +92,9 @@
 	defer g.mu.Unlock()
 	g.applied = meta.Index
 	g.counters.snapshotIndex = meta.Index
-	for index, waiting := range g.proposals {
+	for index, pending := range g.proposals {
 		if index <= meta.Index {
-			waiting.done <- outcome{err: &OutcomeUnknownError{Group: g.id, Cause: errLeadershipLost}}
+			pending.done <- outcome{err: &OutcomeUnknownError{Group: g.id, Cause: errLeadershipLost}}
 			delete(g.proposals, index)
 		}
 	}
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -89,13 +89,13 @@
 		if !ok || leader.ID == h.self.ID {
 			continue
 		}
-		answer, known := asked[leader.Address]
+		response, known := asked[leader.Address]
 		if !known {
-			answer, _ = rpc.Call(ctx, h.transport.client, leader.Address, procedureStatus, &statusRequest{})
-			asked[leader.Address] = answer
+			response, _ = rpc.Call(ctx, h.transport.client, leader.Address, procedureStatus, &statusRequest{})
+			asked[leader.Address] = response
 		}
-		if answer != nil && i < len(answer.Groups) && answer.Groups[i].Leads {
-			statuses[i] = answer.Groups[i]
+		if response != nil && i < len(response.Groups) && response.Groups[i].Leads {
+			statuses[i] = response.Groups[i]
 		}
 	}
 	return statuses
--- a/internal/replica/transport.go
+++ b/internal/replica/transport.go
@@ -89,14 +89,14 @@
 	wake       chan struct{}
 }
 
-func newTransport(config Config, self Member, lost func(group uint32, to quorum.ID)) *transport {
+func newTransport(config Config, self Member, onLost func(group uint32, to quorum.ID)) *transport {
 	ctx, cancel := context.WithCancel(context.Background())
 	newPeer := config.PeerClient
 	if newPeer == nil {
 		newPeer = func() *http.Client { return config.Client }
 	}
 	return &transport{
-		client: rpc.NewClient(config.Client), newPeer: newPeer, self: self, logger: config.Logger, onLost: lost,
+		client: rpc.NewClient(config.Client), newPeer: newPeer, self: self, logger: config.Logger, onLost: onLost,
 		timeout: config.electionTimeout() / callsPerElectionTimeout,
 		peers:   map[string]*peer{}, senderAddresses: map[quorum.ID]string{}, ctx: ctx, cancel: cancel,
 	}
--- a/internal/replica/waiting.go
+++ b/internal/replica/waiting.go
@@ -26,9 +26,9 @@
 }
 
 // finishRead completes a read whose index is known and applied.
-func (g *group) finishRead(id uint64, waiting *read) {
-	if waiting.index != 0 && waiting.index <= g.applied {
-		waiting.done <- nil
+func (g *group) finishRead(id uint64, pending *read) {
+	if pending.index != 0 && pending.index <= g.applied {
+		pending.done <- nil
 		delete(g.reads, id)
 	}
 }
@@ -42,8 +42,8 @@
 		g.ticksSinceLeadership = 0
 		return
 	}
-	for id, waiting := range g.reads {
-		waiting.done <- g.notLeader()
+	for id, pending := range g.reads {
+		pending.done <- g.notLeader()
 		delete(g.reads, id)
 	}
 	if len(g.proposals) == 0 {
@@ -58,8 +58,8 @@
 
 // failProposals fails all pending proposals with an unknown outcome.
 func (g *group) failProposals(cause error) {
-	for index, waiting := range g.proposals {
-		waiting.done <- outcome{err: &OutcomeUnknownError{Group: g.id, Cause: cause}}
+	for index, pending := range g.proposals {
+		pending.done <- outcome{err: &OutcomeUnknownError{Group: g.id, Cause: cause}}
 		delete(g.proposals, index)
 	}
 }
@@ -79,12 +79,12 @@
 }
 
 func (g *group) propose(ctx context.Context, data []byte) ([]byte, error) {
-	waiting, err := g.startProposal(data)
+	pending, err := g.startProposal(data)
 	if err != nil {
 		return nil, err
 	}
 	select {
-	case result := <-waiting.done:
+	case result := <-pending.done:
 		return result.result, result.err
 	case <-ctx.Done():
 		return nil, &OutcomeUnknownError{Group: g.id, Cause: ctx.Err()}
@@ -108,19 +108,19 @@
 		// A newer leader overwrote its entry before this VM became leader again.
 		older.done <- outcome{err: g.notLeader()}
 	}
-	waiting := &proposal{term: term, done: make(chan outcome, 1)}
-	g.proposals[index] = waiting
+	pending := &proposal{term: term, done: make(chan outcome, 1)}
+	g.proposals[index] = pending
 	g.flush()
-	return waiting, nil
+	return pending, nil
 }
 
 func (g *group) readBarrier(ctx context.Context) error {
-	id, waiting, err := g.startRead()
+	id, pending, err := g.startRead()
 	if err != nil {
 		return err
 	}
 	select {
-	case err := <-waiting.done:
+	case err := <-pending.done:
 		return err
 	case <-ctx.Done():
 		g.mu.Lock()
@@ -138,27 +138,27 @@
 	}
 	g.lastReadID++
 	id := g.lastReadID
-	waiting := &read{done: make(chan error, 1)}
-	g.reads[id] = waiting
+	pending := &read{done: make(chan error, 1)}
+	g.reads[id] = pending
 	if err := g.node.Read(id); err != nil {
 		delete(g.reads, id)
 		return 0, nil, g.notLeader()
 	}
 	g.flush()
-	return id, waiting, nil
+	return id, pending, nil
 }
 
 // finishProposal sends the result to the proposer of the entry at this index. If the
 // entry is of another term, the proposed entry was overwritten and never committed.
 func (g *group) finishProposal(entry quorum.Entry, result []byte) {
-	waiting := g.proposals[entry.Index]
-	if waiting == nil {
+	pending := g.proposals[entry.Index]
+	if pending == nil {
 		return
 	}
 	delete(g.proposals, entry.Index)
-	if waiting.term != entry.Term {
-		waiting.done <- outcome{err: g.notLeader()}
+	if pending.term != entry.Term {
+		pending.done <- outcome{err: g.notLeader()}
 		return
 	}
-	waiting.done <- outcome{result: result}
+	pending.done <- outcome{result: result}
 }
