--- a/internal/replica/bootstrap.go
+++ b/internal/replica/bootstrap.go
@@ -180,7 +180,7 @@
 	interval := minHelloInterval
 	var contacts []string
 	for round := 0; h.anyLogEmpty(); round++ {
-		responses := h.helloAll(h.helloTargets(round, contacts))
+		responses := h.sendHellos(h.helloTargets(round, contacts))
 		initial, ok := h.decideInitial(responses)
 		if ok && (anyInitial(responses) || !h.hasGroups()) {
 			if err := h.adoptInitial(initial); err != nil {
@@ -245,14 +245,14 @@
 	return slices.DeleteFunc(slices.Compact(addresses), func(address string) bool { return address == self })
 }
 
-// helloAll introduces this member to all addresses concurrently and returns the
+// sendHellos introduces this member to all addresses concurrently and returns the
 // responses. It also introduces the member to contacts in the responses that are not
 // among the addresses, without waiting for them.
-func (h *Host) helloAll(addresses []string) []helloResponse {
+func (h *Host) sendHellos(addresses []string) []helloResponse {
 	results := make(chan *helloResponse, len(addresses))
 	request := helloRequest{Member: h.selfMember(), Blank: true}
 	for _, address := range addresses {
-		go func() { results <- h.hello(address, request) }()
+		go func() { results <- h.sendHello(address, request) }()
 	}
 	var responses []helloResponse
 	for range addresses {
@@ -262,13 +262,13 @@
 	}
 	for _, contact := range contactsOf(responses, h.self.Address) {
 		if !slices.Contains(addresses, contact) {
-			h.spawn(func() { h.hello(contact, request) })
+			h.spawn(func() { h.sendHello(contact, request) })
 		}
 	}
 	return responses
 }
 
-func (h *Host) hello(address string, request helloRequest) *helloResponse {
+func (h *Host) sendHello(address string, request helloRequest) *helloResponse {
 	ctx, cancel := context.WithTimeout(h.ctx, helloTimeout)
 	defer cancel()
 	response, err := rpc.Call(ctx, h.transport.client, address, procedureHello, &request)
--- a/internal/replica/bootstrap_test.go
+++ b/internal/replica/bootstrap_test.go
@@ -134,7 +134,7 @@
 		"any class when one more loss breaks the majority": {append(three[:2:2], store(voter("d", 4, 60)), store(voter("e", 5, 60)), store(voter("f", 6, 1))), []quorum.Member{blank("g", 7)}, 5, quorum.AddLearner, 7, ""},
 		"remove a lost VM once replaced":                   {append(three[:2:2], voter("c", 3, 60), voter("d", 4, 0)), nil, 3, quorum.Remove, 3, ""},
 	} {
-		change, ok := nextChange(repairView{members: tc.members, candidates: tc.candidates, target: tc.target, lostTicks: 50, preferredClass: "store", self: 1, retiring: []string{tc.retiring}, minVoters: 3})
+		change, ok := nextChange(repairView{members: tc.members, candidates: tc.candidates, targetVoters: tc.target, lostTicks: 50, preferredClass: "store", self: 1, retiring: []string{tc.retiring}, minVoters: 3})
 		if ok != (tc.kind != 0) || change.Kind != tc.kind || change.Member.ID != tc.id {
 			t.Errorf("%s: unexpected result %t with change %+v", name, ok, change)
 		}
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -395,11 +395,11 @@
 // failSync is a log file whose syncs fail while fail returns true.
 type failSync struct {
 	wal.File
-	fail func() bool
+	shouldFail func() bool
 }
 
 func (f failSync) Sync() error {
-	if f.fail() {
+	if f.shouldFail() {
 		return errors.New("input/output error")
 	}
 	return f.File.Sync()
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -28,15 +28,15 @@
 	mu                   sync.Mutex
 	node                 *quorum.Node
 	applied              uint64
-	proposals            map[uint64]*proposal // by index
-	reads                map[uint64]*read     // by ID
+	proposals            map[uint64]*proposal    // by index
+	reads                map[uint64]*pendingRead // by ID
 	lastReadID           uint64
 	wasLeader            bool      // leadership as last reported to metrics and the log
 	ticksSinceLeadership int       // ticks since leadership was lost with proposals pending
 	syncSince            time.Time // start of the running sync; zero if none is running
 	pendingReplacement   *replacement
 	counters             groupCounters
-	sending              map[quorum.ID]uint64 // index of the snapshot that is being sent to each member
+	outgoingSnapshots    map[quorum.ID]uint64 // index of the snapshot that is being sent to each member
 
 	staging staging
 
@@ -74,11 +74,11 @@
 	}
 	return &group{
 		host: h, id: id, store: s, machine: machine, lastSnapshot: stored,
-		wake:      make(chan struct{}, 1),
-		proposals: map[uint64]*proposal{},
-		reads:     map[uint64]*read{},
-		sending:   map[quorum.ID]uint64{},
-		staging:   staging{folder: s.path(incomingFolder)},
+		wake:              make(chan struct{}, 1),
+		proposals:         map[uint64]*proposal{},
+		reads:             map[uint64]*pendingRead{},
+		outgoingSnapshots: map[quorum.ID]uint64{},
+		staging:           staging{folder: s.path(incomingFolder)},
 	}, nil
 }
 
@@ -143,7 +143,7 @@
 	outbox := g.node.TakeOutbox()
 	isAppend := func(m quorum.Message) bool { return m.Type == quorum.MsgAppend }
 	if slices.ContainsFunc(outbox.Messages, isAppend) {
-		g.host.transport.send(g.outbound(outbox.Messages))
+		g.host.transport.send(g.newOutbound(outbox.Messages))
 		outbox.Messages = nil
 	}
 	for _, confirmed := range outbox.Reads {
@@ -160,10 +160,10 @@
 		g.recordLeadershipChange()
 	}
 	g.signal()
-	return g.outbound(outbox.Messages)
+	return g.newOutbound(outbox.Messages)
 }
 
-func (g *group) outbound(messages []quorum.Message) outbound {
+func (g *group) newOutbound(messages []quorum.Message) outbound {
 	return outbound{group: g.id, members: g.node.Membership(), messages: messages}
 }
 
@@ -255,7 +255,7 @@
 		return false, err
 	}
 	g.mu.Lock()
-	g.host.transport.send(g.outbound(ready.AfterSync))
+	g.host.transport.send(g.newOutbound(ready.AfterSync))
 	g.node.Advance()
 	g.flush()
 	g.mu.Unlock()
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -30,11 +30,11 @@
 	groups          []*group
 	transferLimiter *transferLimiter
 
-	ctx    context.Context
-	cancel context.CancelFunc
-	wait   sync.WaitGroup
-	done   chan struct{}
-	once   sync.Once
+	ctx          context.Context
+	cancel       context.CancelFunc
+	wait         sync.WaitGroup
+	done         chan struct{}
+	shutdownOnce sync.Once
 
 	mu         sync.Mutex
 	initial    *initialRecord
@@ -43,7 +43,7 @@
 	retiring   []string // VMs that must not be members of any group
 	locations  map[uint32]groupLocation
 	failure    error
-	ended      bool
+	stopping   bool
 }
 
 var _ Proposer = (*Host)(nil)
@@ -161,7 +161,7 @@
 func (h *Host) spawn(fn func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.ended {
+	if !h.stopping {
 		h.wait.Go(fn)
 	}
 }
@@ -243,7 +243,7 @@
 func (h *Host) stopped() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.ended {
+	if !h.stopping {
 		return nil
 	}
 	return &StoppedError{Cause: h.failure}
@@ -262,7 +262,7 @@
 func (h *Host) fail(cause error) {
 	h.logger.Error("replica host stopping after a failure", zap.Error(cause))
 	h.mu.Lock()
-	if h.failure == nil && !h.ended {
+	if h.failure == nil && !h.stopping {
 		h.failure = cause
 	}
 	h.mu.Unlock()
@@ -277,9 +277,9 @@
 }
 
 func (h *Host) shutdown() {
-	h.once.Do(func() {
+	h.shutdownOnce.Do(func() {
 		h.mu.Lock()
-		h.ended = true
+		h.stopping = true
 		h.mu.Unlock()
 		h.cancel()
 		h.transport.stop()
--- a/internal/replica/repairview.go
+++ b/internal/replica/repairview.go
@@ -11,7 +11,7 @@
 type repairView struct {
 	members        []quorum.MemberStatus
 	candidates     []quorum.Member
-	target         int // number of voters that the group should have
+	targetVoters   int // number of voters that the group should have
 	lostTicks      int // a member without contact for this long is lost; 0: no member is
 	replacement    *replacement
 	preferredClass string   // class from which members are chosen while any are available
@@ -34,7 +34,7 @@
 		}
 		voters++
 	}
-	if old, ok := v.retiringMember(); ok && (voters > v.target || voters > v.minVoters && !v.hasStandby()) {
+	if old, ok := v.retiringMember(); ok && (voters > v.targetVoters || voters > v.minVoters && !v.hasStandby()) {
 		return quorum.Change{Kind: quorum.Remove, Member: old}, true
 	}
 	if old, ok := v.surplusVoter(voters); ok {
@@ -53,7 +53,7 @@
 		return quorum.Change{Kind: quorum.AddLearner, Member: blank}, true
 	}
 	_, retiring := v.retiringMember()
-	if blank, ok := v.standby(); ok && (voters < v.target || retiring || v.improvesClass(blank)) {
+	if blank, ok := v.standby(); ok && (voters < v.targetVoters || retiring || v.improvesClass(blank)) {
 		return quorum.Change{Kind: quorum.AddLearner, Member: blank}, true
 	}
 	if blank, ok := v.standby(); ok && v.needsReplacement(voters, blank) {
@@ -167,7 +167,7 @@
 			}
 		}
 	}
-	if voters <= v.target {
+	if voters <= v.targetVoters {
 		return quorum.Member{}, false
 	}
 	for _, member := range v.members {
--- a/internal/replica/replacement.go
+++ b/internal/replica/replacement.go
@@ -73,11 +73,11 @@
 // leads.
 func (h *Host) reconcile() {
 	view := repairView{
-		candidates: h.recentCandidates(),
-		target:     h.config.targetVoters(),
-		lostTicks:  int(h.config.ReplaceAfter / h.config.Tick),
-		retiring:   h.retiringVMs(),
-		minVoters:  h.config.LeastVoters,
+		candidates:   h.recentCandidates(),
+		targetVoters: h.config.targetVoters(),
+		lostTicks:    int(h.config.ReplaceAfter / h.config.Tick),
+		retiring:     h.retiringVMs(),
+		minVoters:    h.config.LeastVoters,
 	}
 	for _, g := range h.groups {
 		if g.reconcile(view) {
--- a/internal/replica/snapshot.go
+++ b/internal/replica/snapshot.go
@@ -60,7 +60,7 @@
 // while changes arrive faster than a transfer completes. The caller holds the mutex.
 func (g *group) entriesToKeep(index uint64) uint64 {
 	needed := g.node.NeededAfter()
-	for _, sent := range g.sending {
+	for _, sent := range g.outgoingSnapshots {
 		needed = min(needed, sent)
 	}
 	keep := max(g.host.config.KeepEntries, index-min(index, needed))
@@ -94,7 +94,7 @@
 	g.counters.snapshotIndex = meta.Index
 	for index, pending := range g.proposals {
 		if index <= meta.Index {
-			pending.done <- outcome{err: &OutcomeUnknownError{Group: g.id, Cause: errLeadershipLost}}
+			pending.done <- proposalResult{err: &OutcomeUnknownError{Group: g.id, Cause: errLeadershipLost}}
 			delete(g.proposals, index)
 		}
 	}
--- a/internal/replica/staging.go
+++ b/internal/replica/staging.go
@@ -24,9 +24,9 @@
 
 var errStagingBusy = errors.New("another snapshot is being installed")
 
-// write stores a chunk of the current transfer. A chunk with Begin starts a new
+// writeChunk stores a chunk of the current transfer. A chunk with Begin starts a new
 // transfer, which replaces an incomplete one.
-func (s *staging) write(c *chunk) error {
+func (s *staging) writeChunk(c *chunk) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.sealed {
--- a/internal/replica/transfer.go
+++ b/internal/replica/transfer.go
@@ -50,15 +50,15 @@
 // startTransfer sends the newest snapshot to a member, unless a transfer to it is
 // running. The caller holds the mutex.
 func (g *group) startTransfer(to quorum.ID) {
-	if _, running := g.sending[to]; running {
+	if _, running := g.outgoingSnapshots[to]; running {
 		return
 	}
 	address := g.host.transport.addressOf(g.node.Membership(), to)
 	term := g.node.Term()
 	base := g.node.SnapshotMeta()
-	g.sending[to] = base.Index
+	g.outgoingSnapshots[to] = base.Index
 	g.host.spawn(func() {
-		index, err := g.transfer(address, to, term, base)
+		index, err := g.sendSnapshot(address, to, term, base)
 		g.host.config.Metrics.Count(metricTransfers)
 		if err != nil {
 			g.host.config.Metrics.Count(metricTransferFails)
@@ -70,7 +70,7 @@
 		}
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		delete(g.sending, to)
+		delete(g.outgoingSnapshots, to)
 		g.node.ReportSnapshot(to, index)
 		g.flush()
 	})
@@ -94,9 +94,9 @@
 	started bool
 }
 
-// transfer sends the snapshot on disk and returns its index. base is the metadata to
+// sendSnapshot sends the snapshot on disk and returns its index. base is the metadata to
 // send for a group that has taken no snapshot yet.
-func (g *group) transfer(address string, to quorum.ID, term uint64, base quorum.SnapshotMeta) (uint64, error) {
+func (g *group) sendSnapshot(address string, to quorum.ID, term uint64, base quorum.SnapshotMeta) (uint64, error) {
 	stored, err := g.store.load()
 	if err != nil {
 		return 0, err
@@ -181,7 +181,7 @@
 	}
 	h.transport.recordAddress(c.From, c.Address)
 	g := h.groups[c.Group]
-	if err := g.staging.write(c); err != nil {
+	if err := g.staging.writeChunk(c); err != nil {
 		return nil, err
 	}
 	if c.Final == nil {
--- a/internal/replica/waiting.go
+++ b/internal/replica/waiting.go
@@ -10,23 +10,23 @@
 // proposal is a caller of Propose that waits for its entry to be applied.
 type proposal struct {
 	term uint64
-	done chan outcome
+	done chan proposalResult
 }
 
-type outcome struct {
+type proposalResult struct {
 	result []byte
 	err    error
 }
 
-// read is a caller of ReadBarrier. It waits until its index is known and then until
+// pendingRead is a caller of ReadBarrier. It waits until its index is known and then until
 // that index is applied.
-type read struct {
+type pendingRead struct {
 	index uint64 // zero until a majority has confirmed the leader
 	done  chan error
 }
 
 // finishRead completes a read whose index is known and applied.
-func (g *group) finishRead(id uint64, pending *read) {
+func (g *group) finishRead(id uint64, pending *pendingRead) {
 	if pending.index != 0 && pending.index <= g.applied {
 		pending.done <- nil
 		delete(g.reads, id)
@@ -59,7 +59,7 @@
 // failProposals fails all pending proposals with an unknown outcome.
 func (g *group) failProposals(cause error) {
 	for index, pending := range g.proposals {
-		pending.done <- outcome{err: &OutcomeUnknownError{Group: g.id, Cause: cause}}
+		pending.done <- proposalResult{err: &OutcomeUnknownError{Group: g.id, Cause: cause}}
 		delete(g.proposals, index)
 	}
 }
@@ -106,9 +106,9 @@
 	}
 	if older := g.proposals[index]; older != nil {
 		// A newer leader overwrote its entry before this VM became leader again.
-		older.done <- outcome{err: g.notLeader()}
+		older.done <- proposalResult{err: g.notLeader()}
 	}
-	pending := &proposal{term: term, done: make(chan outcome, 1)}
+	pending := &proposal{term: term, done: make(chan proposalResult, 1)}
 	g.proposals[index] = pending
 	g.flush()
 	return pending, nil
@@ -130,7 +130,7 @@
 	}
 }
 
-func (g *group) startRead() (uint64, *read, error) {
+func (g *group) startRead() (uint64, *pendingRead, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if err := g.host.stopped(); err != nil {
@@ -138,7 +138,7 @@
 	}
 	g.lastReadID++
 	id := g.lastReadID
-	pending := &read{done: make(chan error, 1)}
+	pending := &pendingRead{done: make(chan error, 1)}
 	g.reads[id] = pending
 	if err := g.node.Read(id); err != nil {
 		delete(g.reads, id)
@@ -157,8 +157,8 @@
 	}
 	delete(g.proposals, entry.Index)
 	if pending.term != entry.Term {
-		pending.done <- outcome{err: g.notLeader()}
+		pending.done <- proposalResult{err: g.notLeader()}
 		return
 	}
-	pending.done <- outcome{result: result}
+	pending.done <- proposalResult{result: result}
 }
