--- a/internal/replica/bootstrap.go
+++ b/internal/replica/bootstrap.go
@@ -88,8 +88,8 @@
 	return slices.ContainsFunc(h.groups, func(g *group) bool { return !g.blank() })
 }
 
-// Known returns the members of all groups, including this one, and the
-// blank members that wait to join, sorted by address, as far as this VM knows them.
+// Known returns the members of all groups, including this one, and the blank members
+// that wait to join, sorted by address, as far as this VM knows them.
 func (h *Host) Known() []quorum.Member {
 	return uniqueByAddress(append(h.Members(), h.recentCandidates()...))
 }
--- a/internal/replica/host_test.go
+++ b/internal/replica/host_test.go
@@ -287,7 +287,7 @@
 	close(stop)
 	wait.Wait()
 	if sent := c.leader().host.config.Metrics.Value(metricTransfers); sent != 1 {
-		t.Errorf("%d snapshots were sent to member %s, want 1", sent, away.host.self.ID)
+		t.Errorf("the leader sent %d snapshots until member %s had caught up, want 1", sent, away.host.self.ID)
 		for _, entry := range logged.FilterMessageSnippet("snapshot").All() {
 			t.Log(entry.Time, entry.Message, entry.ContextMap())
 		}
--- a/internal/replica/locate.go
+++ b/internal/replica/locate.go
@@ -28,8 +28,8 @@
 	foundAt time.Time
 }
 
-// Locate searches for the leaders of the groups for which this VM neither knows
-// a leader nor has located one recently, because it is not, or no longer, a member.
+// Locate searches for the leaders of the groups for which this VM neither knows a
+// leader nor has located one recently, because it is not, or no longer, a member.
 // Members and calls that need a leader use the results.
 func (h *Host) Locate(ctx context.Context) {
 	for id := range h.Groups() {
--- a/internal/replica/replacement.go
+++ b/internal/replica/replacement.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// Candidates returns the blank members with recent contact.
+// Candidates returns the blank members with recent contact, sorted by ID.
 func (h *Host) Candidates() []quorum.Member { return h.recentCandidates() }
 
 // recentCandidates returns the blank members with recent contact, sorted by ID, and
--- a/internal/replica/transfer.go
+++ b/internal/replica/transfer.go
@@ -94,8 +94,8 @@
 	started bool
 }
 
-// sendSnapshot sends the snapshot on disk and returns its index. base is the metadata to
-// send for a group that has taken no snapshot yet.
+// sendSnapshot sends the snapshot on disk and returns its index. base is the metadata
+// to send for a group that has taken no snapshot yet.
 func (g *group) sendSnapshot(address string, to quorum.ID, term uint64, base quorum.SnapshotMeta) (uint64, error) {
 	stored, err := g.store.load()
 	if err != nil {
--- a/internal/replica/waiting.go
+++ b/internal/replica/waiting.go
@@ -18,8 +18,8 @@
 	err    error
 }
 
-// pendingRead is a caller of ReadBarrier. It waits until its index is known and then until
-// that index is applied.
+// pendingRead is a caller of ReadBarrier. It waits until its index is known and then
+// until that index is applied.
 type pendingRead struct {
 	index uint64 // zero until a majority has confirmed the leader
 	done  chan error
