--- a/internal/replica/bootstrap.go
+++ b/internal/replica/bootstrap.go
@@ -374,7 +374,7 @@
 	initial := g.host.initialMembership()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if initial == nil || !g.node.Begin(*initial) {
+	if initial == nil || !g.node.SetInitialMembership(*initial) {
 		return
 	}
 	g.applied = quorum.BootstrapIndex
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -196,7 +196,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	limit := 2 * g.host.config.electionTimeout()
-	g.node.SetStalled(!g.syncSince.IsZero() && time.Since(g.syncSince) > limit)
+	g.node.SetDiskStalled(!g.syncSince.IsZero() && time.Since(g.syncSince) > limit)
 	g.node.Tick()
 	g.failStaleWaiters()
 	return g.drain()
@@ -284,10 +284,10 @@
 	g.mu.Unlock()
 	if g.host.config.SyncEach {
 		for i := range len(ready.Entries) - 1 {
-			g.host.log.Start([]wal.Record{g.entriesRecord(ready.Entries[i : i+1])})
+			g.host.log.StartAppend([]wal.Record{g.entriesRecord(ready.Entries[i : i+1])})
 		}
 	}
-	return g.host.log.Start(records)
+	return g.host.log.StartAppend(records)
 }
 
 func (g *group) entriesRecord(entries []quorum.Entry) wal.Record {
--- a/internal/replica/snapshot.go
+++ b/internal/replica/snapshot.go
@@ -29,7 +29,7 @@
 		return fmt.Errorf("snapshot: %w", err)
 	}
 	g.mu.Lock()
-	meta, ok := g.node.MetaAt(g.applied)
+	meta, ok := g.node.SnapshotMetaAt(g.applied)
 	g.mu.Unlock()
 	if !ok {
 		return nil // a snapshot from the leader has just replaced the log
--- a/internal/replica/transfer.go
+++ b/internal/replica/transfer.go
@@ -203,7 +203,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.node.Step(m)
-	if !g.node.Installing() {
+	if !g.node.InstallingSnapshot() {
 		g.staging.reset()
 	}
 	g.flush()
