--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -14,10 +14,10 @@
 	hdrhistogram "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// proposalSize is near the size of a batch item's result record, in bytes.
+// proposalSize is close to the size in bytes of the result record of a batch item.
 const proposalSize = 200
 
-// BenchmarkPropose measures acknowledged changes a second and their latency.
+// BenchmarkPropose measures acknowledged changes per second and their latency.
 func BenchmarkPropose(b *testing.B) {
 	for _, members := range []int{3, 5} {
 		for _, callers := range []int{1, 64, 512} {
@@ -30,9 +30,9 @@
 }
 
 func benchmarkPropose(b *testing.B, members, callers int, each bool) {
-	c := start(b, members, members, func(config *Config) { config.SyncEach = each })
+	c := startCluster(b, members, members, func(config *Config) { config.SyncEach = each })
 	leader := c.leader().host
-	c.change("first")
+	c.propose("first")
 	var mu sync.Mutex
 	histogram := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	var next atomic.Int64
@@ -59,22 +59,22 @@
 	b.ReportMetric(float64(histogram.ValueAtQuantile(99))/1000, "ms-p99")
 }
 
-// BenchmarkLeaderLoss measures the time from the loss of a leader, without a
-// word, to the next acknowledged change.
+// BenchmarkLeaderLoss measures the time from the crash of a leader to the next
+// acknowledged change.
 func BenchmarkLeaderLoss(b *testing.B) {
 	for range b.N {
 		b.StopTimer()
-		c := start(b, 3, 3, nil)
-		c.change("first")
+		c := startCluster(b, 3, 3, nil)
+		c.propose("first")
 		lost := c.leader()
 		b.StartTimer()
 		lost.kill()
-		c.change("second")
+		c.propose("second")
 	}
 }
 
-// BenchmarkRestart measures how long a member takes to open its data folder,
-// per number of changes, with the default spacing of snapshots.
+// BenchmarkRestart measures how long a member takes to open its data folder, by the
+// number of changes, with the default snapshot interval.
 func BenchmarkRestart(b *testing.B) {
 	for _, changes := range []int{1_000, 9_000, 25_000} {
 		b.Run(fmt.Sprintf("changes=%d", changes), func(b *testing.B) { benchmarkRestart(b, changes) })
@@ -82,20 +82,20 @@
 }
 
 func benchmarkRestart(b *testing.B, changes int) {
-	c := start(b, 1, 1, nil)
+	c := startCluster(b, 1, 1, nil)
 	v := c.vms[0]
-	c.change("first")
+	c.propose("first")
 	var wait sync.WaitGroup
 	for worker := range 100 {
 		wait.Go(func() {
 			for i := range changes / 100 {
-				c.change(fmt.Sprintf("%0*d", proposalSize, worker*changes+i))
+				c.propose(fmt.Sprintf("%0*d", proposalSize, worker*changes+i))
 			}
 		})
 	}
 	wait.Wait()
-	for i := range 3 { // the commit index rides along with the next write
-		c.change(fmt.Sprint("last-", i))
+	for i := range 3 { // the commit index is sent with the next write
+		c.propose(fmt.Sprint("last-", i))
 	}
 	snapshotBytes := v.host.Status()[0].SnapshotBytes
 	var logBytes int64
@@ -117,34 +117,35 @@
 	b.ReportMetric(float64(logBytes), "log-bytes")
 }
 
-// BenchmarkIdle measures what the members of quiet groups cost: bytes a second
-// on the connections of all of them together, and the process's time.
+// BenchmarkIdle measures the cost of the members of idle groups: bytes per second on
+// the connections of all members together, and the processor time of the process.
 func BenchmarkIdle(b *testing.B) {
 	for _, groups := range []uint32{1, 4, 16} {
 		b.Run(fmt.Sprintf("groups=%d", groups), func(b *testing.B) {
-			c := start(b, 3, 3, func(config *Config) { config.Groups = groups })
-			c.change("first")
+			c := startCluster(b, 3, 3, func(config *Config) { config.Groups = groups })
+			c.propose("first")
 			time.Sleep(time.Second)
-			bytes, used := c.bytes(), processorTime()
+			bytes, used := c.bytes(), cpuTime()
 			b.ResetTimer()
 			for range b.N {
 				time.Sleep(time.Second)
 			}
 			b.ReportMetric(float64(c.bytes()-bytes)/b.Elapsed().Seconds()/3, "B/s/member")
-			b.ReportMetric((processorTime()-used).Seconds()/b.Elapsed().Seconds()/3*100, "%core/member")
+			b.ReportMetric((cpuTime()-used).Seconds()/b.Elapsed().Seconds()/3*100, "%core/member")
 		})
 	}
 }
 
+// bytes returns the bytes sent and received on the connections that the VMs opened.
 func (c *cluster) bytes() int64 {
 	sum := int64(0)
 	for _, v := range c.vms {
-		sum += v.silent.bytes.Load()
+		sum += v.network.bytes.Load()
 	}
 	return sum
 }
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		panic(err)
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -18,7 +18,7 @@
 	"slateway.example/slateway/internal/wal"
 )
 
-// ledger is a machine that appends each entry to a file and counts them.
+// ledger is a state machine that appends each entry to a file and counts them.
 type ledger struct {
 	path string
 
@@ -77,98 +77,101 @@
 	return m.seen[data]
 }
 
-// vm is one in-process host on loopback.
+// vm is one in-process host on the loopback interface.
 type vm struct {
 	name, address, folder string
 	voters                []Voter
 	host                  *Host
 	server                *http.Server
 	machines              []*ledger
-	silent                *silence
+	network               *faultyNetwork
 }
 
-// silence makes a VM's calls, in and out, hang without an error, or only the
-// connections that it has opened.
-type silence struct {
+// faultyNetwork makes all calls of a VM, incoming and outgoing, hang without an error,
+// or only those on connections that it has opened.
+type faultyNetwork struct {
 	transport http.Transport
-	bytes     atomic.Int64 // sent and received on connections opened here
+	bytes     atomic.Int64 // sent and received on connections opened by this VM
 
-	mu    sync.Mutex
-	on    bool
-	conns []*silentConn
+	mu      sync.Mutex
+	hanging bool
+	conns   []*blackholeConn
 }
 
-// silentConn is a connection that something between its ends can lose track
-// of: writes vanish and reads wait until it is closed.
-type silentConn struct {
+// blackholeConn is a connection that stays open without passing data, as when a
+// middlebox has lost its state: writes are discarded and reads block until it is
+// closed.
+type blackholeConn struct {
 	net.Conn
-	lost   atomic.Bool
-	bytes  *atomic.Int64 // of all connections that the VM has opened
-	closed chan struct{}
-	once   sync.Once
+	blackholed atomic.Bool
+	bytes      *atomic.Int64 // shared by all connections that the VM has opened
+	closed     chan struct{}
+	once       sync.Once
 }
 
-func (c *silentConn) Read(data []byte) (int, error) {
+func (c *blackholeConn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	c.bytes.Add(int64(n))
-	if c.lost.Load() {
+	if c.blackholed.Load() {
 		<-c.closed
 		return 0, net.ErrClosed
 	}
 	return n, err
 }
 
-func (c *silentConn) Write(data []byte) (int, error) {
-	if c.lost.Load() {
+func (c *blackholeConn) Write(data []byte) (int, error) {
+	if c.blackholed.Load() {
 		return len(data), nil
 	}
 	c.bytes.Add(int64(len(data)))
 	return c.Conn.Write(data)
 }
 
-func (c *silentConn) Close() error {
+func (c *blackholeConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
-func (s *silence) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (s *faultyNetwork) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	tracked := &silentConn{Conn: conn, bytes: &s.bytes, closed: make(chan struct{})}
+	tracked := &blackholeConn{Conn: conn, bytes: &s.bytes, closed: make(chan struct{})}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns = append(s.conns, tracked)
 	return tracked, nil
 }
 
-// loseConnections makes the connections that are open now go silent for good.
-func (s *silence) loseConnections() {
+// blackholeConnections makes the currently open connections discard all data
+// permanently.
+func (s *faultyNetwork) blackholeConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, conn := range s.conns {
-		conn.lost.Store(true)
+		conn.blackholed.Store(true)
 	}
 	s.conns = nil
 }
 
-func newSilence() *silence {
-	s := &silence{}
+func newFaultyNetwork() *faultyNetwork {
+	s := &faultyNetwork{}
 	s.transport.DialContext = s.dial
 	return s
 }
 
-func (s *silence) set(on bool) {
+func (s *faultyNetwork) setHanging(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.on = on
+	s.hanging = on
 }
 
-func (s *silence) hang(ctx context.Context) bool {
+// hangIfSet blocks until ctx ends if the network hangs, and reports whether it does.
+func (s *faultyNetwork) hangIfSet(ctx context.Context) bool {
 	s.mu.Lock()
-	on := s.on
+	on := s.hanging
 	s.mu.Unlock()
 	if on {
 		<-ctx.Done()
@@ -176,25 +179,25 @@
 	return on
 }
 
-func (s *silence) CloseIdleConnections() { s.transport.CloseIdleConnections() }
+func (s *faultyNetwork) CloseIdleConnections() { s.transport.CloseIdleConnections() }
 
-func (s *silence) RoundTrip(r *http.Request) (*http.Response, error) {
-	if s.hang(r.Context()) {
+func (s *faultyNetwork) RoundTrip(r *http.Request) (*http.Response, error) {
+	if s.hangIfSet(r.Context()) {
 		return nil, r.Context().Err()
 	}
 	return s.transport.RoundTrip(r)
 }
 
 type cluster struct {
-	t   testing.TB
-	vms []*vm
-	set func(*Config)
+	t         testing.TB
+	vms       []*vm
+	configure func(*Config)
 }
 
-// start begins count VMs, of which the first voters are initial members.
-func start(t testing.TB, count, voters int, set func(*Config)) *cluster {
+// startCluster starts count VMs, of which the first voters are initial members.
+func startCluster(t testing.TB, count, voters int, set func(*Config)) *cluster {
 	t.Helper()
-	c := &cluster{t: t, set: set}
+	c := &cluster{t: t, configure: set}
 	var list []Voter
 	listeners := make([]net.Listener, count)
 	for i := range count {
@@ -203,7 +206,7 @@
 			t.Fatal(err)
 		}
 		listeners[i] = listener
-		c.vms = append(c.vms, &vm{name: fmt.Sprintf("vm-%d", i), address: listener.Addr().String(), folder: t.TempDir(), silent: newSilence()})
+		c.vms = append(c.vms, &vm{name: fmt.Sprintf("vm-%d", i), address: listener.Addr().String(), folder: t.TempDir(), network: newFaultyNetwork()})
 		if i < voters {
 			list = append(list, Voter{VM: c.vms[i].name, Address: c.vms[i].address})
 		}
@@ -236,10 +239,10 @@
 			v.machines = append(v.machines, m)
 			return m, nil
 		},
-		Client: &http.Client{Transport: v.silent},
+		Client: &http.Client{Transport: v.network},
 	}
-	if c.set != nil {
-		c.set(&config)
+	if c.configure != nil {
+		c.configure(&config)
 	}
 	host, err := Open(config)
 	if err != nil {
@@ -250,7 +253,7 @@
 	host.Mount(mux)
 	v.host = host
 	v.server = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !v.silent.hang(r.Context()) {
+		if !v.network.hangIfSet(r.Context()) {
 			mux.ServeHTTP(w, r)
 		}
 	})}
@@ -260,11 +263,11 @@
 	return nil
 }
 
-// kill ends the host without handing leadership over.
+// kill stops the host without transferring leadership.
 func (v *vm) kill() {
 	_ = v.server.Close()
 	v.host.shutdown()
-	v.silent.transport.CloseIdleConnections()
+	v.network.transport.CloseIdleConnections()
 }
 
 func (c *cluster) restart(v *vm) {
@@ -278,19 +281,19 @@
 	c.open(v, listener)
 }
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 func (c *cluster) eventually(what string, condition func() bool) {
 	c.t.Helper()
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		if condition() {
 			return
 		}
 	}
-	c.t.Fatalf("not within %v: %s", patience, what)
+	c.t.Fatalf("condition not met within %v: %s", testTimeout, what)
 }
 
-// leader waits for a VM that leads group 0, other than those given.
+// leader waits for a VM that leads group 0, other than the given ones.
 func (c *cluster) leader(except ...*vm) *vm {
 	c.t.Helper()
 	var found *vm
@@ -310,8 +313,8 @@
 	return found
 }
 
-// viewOf gives the leader's view of a member of group 0.
-func (c *cluster) viewOf(v *vm) MemberStatus {
+// memberStatus returns the leader's view of a member of group 0.
+func (c *cluster) memberStatus(v *vm) MemberStatus {
 	for _, m := range c.leader().host.Status()[0].Members {
 		if m.VM == v.name {
 			return m
@@ -320,7 +323,8 @@
 	return MemberStatus{}
 }
 
-// idleTicks gives for how long the leader of group 0 has not heard a member.
+// idleTicks returns the ticks since the leader of group 0 last had contact with a
+// member.
 func (c *cluster) idleTicks(v *vm) int {
 	g := c.leader().host.groups[0]
 	g.mu.Lock()
@@ -333,23 +337,23 @@
 	return 0
 }
 
-// change proposes data at whichever VM leads, until it is acknowledged. After
-// an unknown outcome it asks the next leader whether the change was made.
-func (c *cluster) change(data string) {
+// propose proposes data to the current leader until it is acknowledged. After an
+// unknown outcome it asks the next leader whether the change was applied.
+func (c *cluster) propose(data string) {
 	c.t.Helper()
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); {
-		err := c.tryChange(c.leader(), data)
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); {
+		err := c.tryPropose(c.leader(), data)
 		var unknown *OutcomeUnknownError
-		if err == nil || errors.As(err, &unknown) && c.wasMade(data) {
+		if err == nil || errors.As(err, &unknown) && c.wasApplied(data) {
 			return
 		}
 	}
-	c.t.Error("no leader took the change")
+	c.t.Error("no leader accepted the change")
 }
 
-// wasMade looks at the state of a leader after a barrier: an entry that is not
-// there by then can never be committed.
-func (c *cluster) wasMade(data string) bool {
+// wasApplied reports whether data is in the state of a leader after a read barrier; an
+// entry that is missing by then can never be committed.
+func (c *cluster) wasApplied(data string) bool {
 	made := false
 	c.eventually("a read barrier", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -362,15 +366,15 @@
 	return made
 }
 
-func (c *cluster) tryChange(v *vm, data string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (c *cluster) tryPropose(v *vm, data string) error {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	_, err := v.host.Propose(ctx, 0, []byte(data))
 	return err
 }
 
-// expect waits until data is applied exactly once on v.
-func (c *cluster) expect(v *vm, data string) {
+// expectApplied waits until data is applied exactly once on v.
+func (c *cluster) expectApplied(v *vm, data string) {
 	c.t.Helper()
 	c.eventually(fmt.Sprintf("%s on %s", data, v.name), func() bool { return v.machines[0].times(data) > 0 })
 	if times := v.machines[0].times(data); times != 1 {
@@ -388,14 +392,14 @@
 	return others
 }
 
-// failSync makes the syncs of a log fail once it is set.
+// failSync is a log file whose syncs fail while fail returns true.
 type failSync struct {
 	wal.File
-	fail func() bool
+	shouldFail func() bool
 }
 
 func (f failSync) Sync() error {
-	if f.fail() {
+	if f.shouldFail() {
 		return errors.New("input/output error")
 	}
 	return f.File.Sync()
--- a/internal/replica/host_test.go
+++ b/internal/replica/host_test.go
@@ -16,70 +16,70 @@
 	"slateway.example/slateway/internal/wal"
 )
 
-// The VM that leads is lost right after it acknowledged a change. Another one
-// leads, has the change, and goes on; the lost one comes back and catches up.
+// The leader crashes right after it acknowledged a change. Another voter that has the
+// change becomes leader; the crashed member restarts and catches up.
 func TestLeaderIsLost(t *testing.T) {
-	c := start(t, 3, 3, nil)
-	c.change("first")
+	c := startCluster(t, 3, 3, nil)
+	c.propose("first")
 	lost := c.leader()
 	lost.kill()
-	c.change("second")
+	c.propose("second")
 	for _, v := range c.others(lost) {
-		c.expect(v, "first")
-		c.expect(v, "second")
+		c.expectApplied(v, "first")
+		c.expectApplied(v, "second")
 	}
 	c.restart(lost)
-	c.expect(lost, "first")
-	c.expect(lost, "second")
+	c.expectApplied(lost, "first")
+	c.expectApplied(lost, "second")
 }
 
-// A partition cuts the leader off without closing a connection. Operators still
-// talk to it: its reads and changes must fail instead of showing old state or
-// hanging, and it must give up its office, while the others go on. When the
-// partition heals, its own change that nobody acknowledged is gone.
+// A partition isolates the leader without closing a connection. Reads and changes at
+// the isolated leader must fail instead of returning stale state or hanging, and it
+// must give up leadership while the other members continue. After the partition its
+// own unacknowledged change is not applied twice.
 func TestLeaderIsIsolatedSilently(t *testing.T) {
-	c := start(t, 3, 3, nil)
-	c.change("first")
+	c := startCluster(t, 3, 3, nil)
+	c.propose("first")
 	isolated := c.leader()
-	isolated.silent.set(true)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	isolated.network.setHanging(true)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	started := time.Now()
 	if err := isolated.host.ReadBarrier(ctx, 0); err == nil {
 		t.Error("a leader without a majority confirmed a read")
 	}
-	err := c.tryChange(isolated, "lost")
+	err := c.tryPropose(isolated, "lost")
 	var unknown *OutcomeUnknownError
 	var elsewhere *NotLeaderError
 	if !errors.As(err, &unknown) && !errors.As(err, &elsewhere) {
-		t.Errorf("a leader without a majority answered %v", err)
+		t.Errorf("proposal at a leader without a majority returned %v", err)
 	}
-	if took := time.Since(started); took > patience/2 {
-		t.Errorf("it took %v to fail", took)
+	if took := time.Since(started); took > testTimeout/2 {
+		t.Errorf("read and proposal took %v to fail", took)
 	}
 	c.eventually("the isolated VM no longer leads", func() bool { return !isolated.host.Status()[0].Leads })
 	next := c.leader(isolated)
-	if err := c.tryChange(next, "second"); err != nil {
+	if err := c.tryPropose(next, "second"); err != nil {
 		t.Fatal(err)
 	}
-	isolated.silent.set(false)
-	c.expect(isolated, "second")
+	isolated.network.setHanging(false)
+	c.expectApplied(isolated, "second")
 	if isolated.machines[0].times("lost") > 1 {
 		t.Error("the change was applied twice")
 	}
 }
 
-// A disk is lost and its VM starts with a blank one. The blank disk must not
-// begin a second group, must not vote as the old member, and takes its place
-// only with the whole log. Right after that a second VM is lost: everything
-// acknowledged is there and the group goes on.
+// A VM loses its disk and starts with a blank one. The blank disk must not bootstrap a
+// second group, must not vote under the identity of the old member, and replaces it
+// only once it holds the whole log. When a second VM fails right afterwards, all
+// acknowledged changes are still there and the group continues.
 func TestSecondLossRightAfterReplacement(t *testing.T) {
-	c := start(t, 3, 3, func(config *Config) {
+	c := startCluster(t, 3, 3, func(config *Config) {
 		config.ReplaceAfter = time.Second
 		config.SnapshotEntries = 50
 	})
 	for i := range 120 {
-		c.change(fmt.Sprint("before-", i))
+		c.propose(fmt.Sprint("before-", i))
 	}
 	lost := c.others(c.leader())[0]
 	old := lost.host.Self().ID
@@ -102,24 +102,24 @@
 	})
 	second := c.leader()
 	second.kill()
-	c.change("after")
+	c.propose("after")
 	for i := range 120 {
-		c.expect(lost, fmt.Sprint("before-", i))
+		c.expectApplied(lost, fmt.Sprint("before-", i))
 	}
-	c.expect(lost, "after")
+	c.expectApplied(lost, "after")
 }
 
-// An operator replaces a member by hand, onto a spare VM.
+// An operator replaces a member manually by a standby VM.
 func TestOperatorReplacesMember(t *testing.T) {
-	c := start(t, 4, 3, func(config *Config) { config.Groups = 3 })
-	c.change("first")
-	spare := c.vms[3]
+	c := startCluster(t, 4, 3, func(config *Config) { config.Groups = 3 })
+	c.propose("first")
+	standby := c.vms[3]
 	lost := c.others(c.leader())[0]
 	lost.kill()
-	c.eventually("the order is taken", func() bool {
-		return c.leader().host.ReplaceMember(context.Background(), lost.name, spare.name) == nil
+	c.eventually("the replacement request is accepted", func() bool {
+		return c.leader().host.ReplaceMember(context.Background(), lost.name, standby.name) == nil
 	})
-	c.eventually("the spare votes and the lost VM is gone", func() bool {
+	c.eventually("the standby is a voter and the lost VM is removed", func() bool {
 		for _, s := range c.leader().host.LeaderStatus(context.Background()) {
 			if !s.Leads || len(s.Members) != 3 || s.Tolerance != 1 {
 				return false
@@ -127,18 +127,18 @@
 		}
 		return true
 	})
-	c.expect(spare, "first")
+	c.expectApplied(standby, "first")
 }
 
-// All VMs restart after a thousand changes, over several snapshots. Each change
-// is there once, in files and in memory.
+// All VMs restart after a thousand changes and several snapshots. Each change is
+// applied exactly once, in files and in memory.
 func TestAllRestartAfterThousandChanges(t *testing.T) {
-	c := start(t, 3, 3, func(config *Config) { config.SnapshotEntries = 300 })
+	c := startCluster(t, 3, 3, func(config *Config) { config.SnapshotEntries = 300 })
 	var wait sync.WaitGroup
 	for worker := range 20 {
 		wait.Go(func() {
 			for i := range 50 {
-				c.change(fmt.Sprintf("%d-%d", worker, i))
+				c.propose(fmt.Sprintf("%d-%d", worker, i))
 			}
 		})
 	}
@@ -152,19 +152,19 @@
 	for _, v := range c.vms {
 		for worker := range 20 {
 			for i := range 50 {
-				c.expect(v, fmt.Sprintf("%d-%d", worker, i))
+				c.expectApplied(v, fmt.Sprintf("%d-%d", worker, i))
 			}
 		}
 	}
-	c.change("after")
+	c.propose("after")
 }
 
-// The disk under the leader reports one failed sync, then works again. What it
-// holds is uncertain: the VM must stop for good and the others go on with all
+// The leader's disk reports one failed sync and then works again. What it holds is
+// uncertain, so the VM must stop permanently, and the others continue with everything
 // that was acknowledged.
 func TestSyncErrorStopsTheMember(t *testing.T) {
 	var failing atomic.Pointer[string]
-	c := start(t, 3, 3, func(config *Config) {
+	c := startCluster(t, 3, 3, func(config *Config) {
 		name := config.VM
 		config.WAL.Create = func(path string) (wal.File, error) {
 			file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -174,35 +174,34 @@
 			}}, err
 		}
 	})
-	c.change("first")
+	c.propose("first")
 	bad := c.leader()
 	failing.Store(&bad.name)
-	_ = c.tryChange(bad, "second")
+	_ = c.tryPropose(bad, "second")
 	failing.Store(nil)
 	<-bad.host.Done()
 	if bad.host.Err() == nil {
-		t.Error("the failed disk is not reported")
+		t.Error("Err does not report the failed disk")
 	}
 	var stopped *StoppedError
-	if err := c.tryChange(bad, "third"); !errors.As(err, &stopped) {
-		t.Errorf("a stopped member answered %v", err)
+	if err := c.tryPropose(bad, "third"); !errors.As(err, &stopped) {
+		t.Errorf("proposal at a stopped member returned %v, want StoppedError", err)
 	}
-	c.change("fourth")
+	c.propose("fourth")
 	for _, v := range c.others(bad) {
-		c.expect(v, "first")
-		c.expect(v, "fourth")
+		c.expectApplied(v, "first")
+		c.expectApplied(v, "fourth")
 	}
 }
 
-// The disk under the leader hangs in a sync without an error. Its heartbeats go
-// on, so the others would follow it for good while every change that it takes
-// waits. It must give up its office; when the disk answers again, the member
-// catches up.
+// Guards against a leader whose disk hangs in a sync without an error. Its heartbeats
+// continue, so the others would follow it indefinitely while every proposal waits. It
+// must give up leadership, and catch up when the disk responds again.
 func TestDiskOfTheLeaderHangs(t *testing.T) {
 	var hanging atomic.Pointer[string]
 	released := make(chan struct{})
 	release := sync.OnceFunc(func() { close(released) })
-	c := start(t, 3, 3, func(config *Config) {
+	c := startCluster(t, 3, 3, func(config *Config) {
 		name := config.VM
 		config.WAL.Create = func(path string) (wal.File, error) {
 			file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -215,55 +214,55 @@
 		}
 	})
 	t.Cleanup(release)
-	c.change("first")
+	c.propose("first")
 	bad := c.leader()
 	hanging.Store(&bad.name)
-	c.change("second")
+	c.propose("second")
 	if c.leader() == bad {
 		t.Error("the VM with the hanging disk still leads")
 	}
 	hanging.Store(nil)
 	release()
-	c.expect(bad, "second")
+	c.expectApplied(bad, "second")
 }
 
-// Something between the VMs loses track of their connections: they stay open
-// and nothing passes, while new ones work. The members must notice and open new
-// ones; without the bound on a call the group would stand still for good.
+// A middlebox loses its state: existing connections stay open without passing data,
+// while new ones work. The members must notice and open new connections; without the
+// timeout of a call the group would stop permanently.
 func TestConnectionsGoSilent(t *testing.T) {
-	c := start(t, 3, 3, nil)
+	c := startCluster(t, 3, 3, nil)
 	for i := range 3 {
-		c.change(fmt.Sprint("before-", i))
+		c.propose(fmt.Sprint("before-", i))
 		for _, v := range c.vms {
-			v.silent.loseConnections()
+			v.network.blackholeConnections()
 		}
-		c.change(fmt.Sprint("after-", i))
+		c.propose(fmt.Sprint("after-", i))
 	}
 	for _, v := range c.vms {
-		c.expect(v, "after-2")
+		c.expectApplied(v, "after-2")
 	}
 }
 
-// A member was away for long. While a snapshot of some megabytes is on its way
-// to it, changes go on and the leader takes further snapshots. The member must
-// catch up by that one transfer, or a busy group could never be made whole.
+// A member returns after a long absence. Changes continue and the leader takes further
+// snapshots while a snapshot of a few megabytes is sent to the member. It must catch
+// up with that one transfer; otherwise a member of a busy group could never catch up.
 func TestMemberCatchesUpWhileChangesGoOn(t *testing.T) {
 	const size = 16 << 10
 	core, logged := observer.New(zap.InfoLevel)
-	c := start(t, 3, 3, func(config *Config) {
+	c := startCluster(t, 3, 3, func(config *Config) {
 		config.Logger = zap.New(core)
 		config.SnapshotEntries = 20
 		config.KeepEntries = 10
 		config.TransferRate = 4 << 20
-		config.ElectionTicks = 3 * defaultElectionTicks // no other leader meanwhile
+		config.ElectionTicks = 3 * defaultElectionTicks // prevents an election during the test
 	})
 	away := c.others(c.leader())[0]
 	away.kill()
-	c.eventually("the member counts as away", func() bool {
+	c.eventually("the leader has lost contact with the member", func() bool {
 		return c.idleTicks(away) > 3*defaultElectionTicks
 	})
 	for i := range 100 {
-		c.change(fmt.Sprintf("%0*d", size, i))
+		c.propose(fmt.Sprintf("%0*d", size, i))
 	}
 	c.restart(away)
 	reached := c.leader().host.Status()[0].Commit
@@ -276,31 +275,31 @@
 				case <-stop:
 					return
 				default:
-					_ = c.tryChange(c.leader(), fmt.Sprintf("busy-%d-%d", worker, i))
+					_ = c.tryPropose(c.leader(), fmt.Sprintf("busy-%d-%d", worker, i))
 				}
 			}
 		})
 	}
-	c.eventually("the member takes entries one by one", func() bool {
-		m := c.viewOf(away)
+	c.eventually("the member receives log entries", func() bool {
+		m := c.memberStatus(away)
 		return m.Reachable && m.Match > reached
 	})
 	close(stop)
 	wait.Wait()
 	if sent := c.leader().host.config.Metrics.Value(metricTransfers); sent != 1 {
-		t.Errorf("%d snapshots were sent to catch up %s", sent, away.host.self.ID)
+		t.Errorf("the leader sent %d snapshots until member %s had caught up, want 1", sent, away.host.self.ID)
 		for _, entry := range logged.FilterMessageSnippet("snapshot").All() {
 			t.Log(entry.Time, entry.Message, entry.ContextMap())
 		}
 	}
 }
 
-// All VMs start for the first time and one loses its disk before the group has
-// begun, while another is down. Neither the blank disk nor the rest may begin a
-// group of their own; with all of them back there is one group.
+// A VM loses its disk, and the VMs restart while one of them is still down. Neither
+// the blank disk nor the others may bootstrap a new group; once all VMs are back there
+// is one group.
 func TestBootstrapWaitsForAll(t *testing.T) {
-	c := start(t, 3, 3, func(config *Config) {})
-	c.change("first")
+	c := startCluster(t, 3, 3, func(config *Config) {})
+	c.propose("first")
 	for _, v := range c.vms {
 		v.kill()
 	}
@@ -312,10 +311,10 @@
 	c.restart(c.vms[1])
 	time.Sleep(5 * minHelloInterval)
 	if first.host.hasGroups() && len(first.host.Status()[0].Members) == 0 || first.host.Status()[0].Leads {
-		t.Error("a blank disk began a group while others hold one")
+		t.Error("a blank disk bootstrapped a group while others hold one")
 	}
 	c.restart(c.vms[2])
-	c.change("second")
-	c.expect(c.vms[1], "first")
-	c.expect(c.vms[2], "first")
+	c.propose("second")
+	c.expectApplied(c.vms[1], "first")
+	c.expectApplied(c.vms[2], "first")
 }
--- a/internal/replica/locate.go
+++ b/internal/replica/locate.go
@@ -11,35 +11,36 @@
 )
 
 const (
-	// searchHops bounds a search: members that were asked name others, which may
-	// have taken their place.
-	searchHops = 4
+	// maxSearchHops bounds a search: the queried members may report other members that
+	// have replaced them.
+	maxSearchHops = 4
 	// searchTimeout bounds each hop.
 	searchTimeout = 300 * time.Millisecond
-	// locatedLifetime is how long a leader that was found is not looked for again.
-	locatedLifetime = 2 * time.Second
+	// locatedLeaderTTL is the time during which a located leader is not searched for
+	// again.
+	locatedLeaderTTL = 2 * time.Second
 )
 
-// located is what this VM has learnt of a group of which it is no member.
-type located struct {
+// groupLocation is what this VM has learned of a group that it is not a member of.
+type groupLocation struct {
 	leader  Member // zero: none was found
 	members []quorum.Member
-	at      time.Time
+	foundAt time.Time
 }
 
-// Locate looks for the leaders of the groups of which this VM knows none, since it
-// is no member of them or not any more, and found none lately. What it finds counts
-// for Members, and where a leader is needed.
+// Locate searches for the leaders of the groups for which this VM neither knows a
+// leader nor has located one recently, because it is not, or no longer, a member.
+// Members and calls that need a leader use the results.
 func (h *Host) Locate(ctx context.Context) {
 	for id := range h.Groups() {
-		if _, known := h.Leader(id); !known && h.locatedAge(id) > locatedLifetime {
-			h.search(ctx, id)
+		if _, known := h.Leader(id); !known && h.locatedLeaderAge(id) > locatedLeaderTTL {
+			h.searchLeader(ctx, id)
 		}
 	}
 }
 
-// LeaderHint gives the member to ask for the group's leader: the one that this VM
-// follows, else the one that it last found.
+// LeaderHint returns the member to contact as the group's leader: the one that this VM
+// follows, otherwise the one last located.
 func (h *Host) LeaderHint(group uint32) (Member, bool) {
 	if leader, known := h.Leader(group); known {
 		return leader, true
@@ -50,62 +51,63 @@
 func (h *Host) locatedLeader(id uint32) (Member, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	leader := h.located[id].leader
+	leader := h.locations[id].leader
 	return leader, leader.Address != ""
 }
 
-// locatedAge is how long ago a leader of the group was found.
-func (h *Host) locatedAge(id uint32) time.Duration {
+// locatedLeaderAge returns the time since a leader of the group was located.
+func (h *Host) locatedLeaderAge(id uint32) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.located[id].leader.Address == "" {
-		return locatedLifetime + 1
+	if h.locations[id].leader.Address == "" {
+		return locatedLeaderTTL + 1
 	}
-	return time.Since(h.located[id].at)
+	return time.Since(h.locations[id].foundAt)
 }
 
-// findLeader gives the leader of a group, which may be looked for.
+// findLeader returns the leader of a group and searches for it if none is known.
 func (h *Host) findLeader(ctx context.Context, id uint32) (Member, bool) {
 	if leader, known := h.Leader(id); known {
 		return leader, true
 	}
-	return h.search(ctx, id)
+	return h.searchLeader(ctx, id)
 }
 
-// search asks the members of a group, as far as they are known here, and those
-// whom they name, until one says that it leads.
-func (h *Host) search(ctx context.Context, id uint32) (Member, bool) {
+// searchLeader queries the known members of a group, then the members that they
+// report, until one reports that it leads.
+func (h *Host) searchLeader(ctx context.Context, id uint32) (Member, bool) {
 	asked := map[string]bool{h.self.Address: true}
-	next := h.whereabouts(id)
-	for range searchHops {
-		var named []string
-		for address, status := range h.askStatus(ctx, id, next, asked) {
+	next := h.searchAddresses(id)
+	for range maxSearchHops {
+		var reported []string
+		for address, status := range h.fetchStatuses(ctx, id, next, asked) {
 			if status.Leads {
-				return h.noteLocated(id, address, &status), true
+				return h.recordLocation(id, address, &status), true
 			}
-			named = append(named, addressesOf(&status)...)
+			reported = append(reported, addressesOf(&status)...)
 		}
-		next = named
+		next = reported
 	}
-	h.forgetLocated(id)
+	h.clearLocatedLeader(id)
 	return Member{}, false
 }
 
-// forgetLocated notes that no leader was found. The members are a start for the
-// next search.
-func (h *Host) forgetLocated(id uint32) {
+// clearLocatedLeader records that no leader was found. It keeps the members as the
+// starting point of the next search.
+func (h *Host) clearLocatedLeader(id uint32) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	found := h.located[id]
+	found := h.locations[id]
 	found.leader = Member{}
-	h.located[id] = found
+	h.locations[id] = found
 }
 
-// whereabouts gives the addresses at which a search for the group begins: the
-// members found by the last one, else those that this VM knew last, else everyone.
-func (h *Host) whereabouts(id uint32) []string {
+// searchAddresses returns the addresses at which a search for the group starts: the
+// members found by the last search, otherwise those that this VM last knew, otherwise
+// all known members.
+func (h *Host) searchAddresses(id uint32) []string {
 	h.mu.Lock()
-	members := h.located[id].members
+	members := h.locations[id].members
 	h.mu.Unlock()
 	if len(members) == 0 {
 		members = h.groups[id].membership().Members
@@ -120,9 +122,9 @@
 	return addresses
 }
 
-// askStatus asks all addresses at once that were not asked before, and gives what
-// they say of the group, by address.
-func (h *Host) askStatus(ctx context.Context, id uint32, addresses []string, asked map[string]bool) map[string]GroupStatus {
+// fetchStatuses queries all addresses that are not in asked concurrently and returns
+// their status of the group, by address.
+func (h *Host) fetchStatuses(ctx context.Context, id uint32, addresses []string, asked map[string]bool) map[string]GroupStatus {
 	ctx, cancel := context.WithTimeout(ctx, searchTimeout)
 	defer cancel()
 	var mu sync.Mutex
@@ -134,21 +136,21 @@
 		}
 		asked[address] = true
 		calls.Go(func() {
-			answer, err := rpc.Call(ctx, h.transport.client, address, procedureStatus, &statusRequest{})
-			if err != nil || int(id) >= len(answer.Groups) {
-				return // another one is asked as well
+			response, err := rpc.Call(ctx, h.transport.client, address, procedureStatus, &statusRequest{})
+			if err != nil || int(id) >= len(response.Groups) {
+				return // the other addresses are queried as well
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			found[address] = answer.Groups[id]
+			found[address] = response.Groups[id]
 		})
 	}
 	calls.Wait()
 	return found
 }
 
-func (h *Host) noteLocated(id uint32, address string, status *GroupStatus) Member {
-	found := located{leader: Member{ID: status.Leader, Address: address}, at: time.Now()}
+func (h *Host) recordLocation(id uint32, address string, status *GroupStatus) Member {
+	found := groupLocation{leader: Member{ID: status.Leader, Address: address}, foundAt: time.Now()}
 	for _, m := range status.Members {
 		if m.Address == address {
 			found.leader.VM = m.VM
@@ -157,12 +159,12 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.located[id] = found
+	h.locations[id] = found
 	return found.leader
 }
 
-// membersOf gives the members of a group, as they were last found if this VM hears
-// no leader of it.
+// membersOf returns the members of a group: from the last search if this VM knows no
+// leader of the group, otherwise its own view.
 func (h *Host) membersOf(id uint32) []quorum.Member {
 	own := h.groups[id].membership().Members
 	if _, known := h.Leader(id); known {
@@ -170,7 +172,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if found := h.located[id].members; len(found) > 0 {
+	if found := h.locations[id].members; len(found) > 0 {
 		return slices.Clone(found)
 	}
 	return own
--- a/internal/replica/replacement.go
+++ b/internal/replica/replacement.go
@@ -9,44 +9,45 @@
 )
 
 const (
-	// reconcileInterval also paces repairs: one membership change of one group
-	// in each.
+	// reconcileInterval also limits the rate of repairs: at most one membership change
+	// of one group per interval.
 	reconcileInterval = 100 * time.Millisecond
-	// candidateTTL is how long a blank member counts after it was heard: over two
-	// rounds of a spare.
+	// candidateTTL is how long a blank member counts as a candidate after its last
+	// contact: more than two hello rounds of a standby.
 	candidateTTL = 5 * time.Second
 )
 
-// candidate is a blank member that waits to be taken in.
+// candidate is a blank member that waits to join.
 type candidate struct {
-	member quorum.Member
-	heard  time.Time
+	member      quorum.Member
+	lastContact time.Time
 }
 
-func (h *Host) noteCandidate(member quorum.Member) {
+func (h *Host) recordCandidate(member quorum.Member) {
 	member.Learner = false
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.candidates[member.ID] = candidate{member: member, heard: time.Now()}
+	h.candidates[member.ID] = candidate{member: member, lastContact: time.Now()}
 }
 
-// NoteCandidates takes in the blank members that another VM has heard.
+// NoteCandidates records blank members that contacted another VM.
 func (h *Host) NoteCandidates(members []quorum.Member) {
 	for _, member := range members {
-		h.noteCandidate(member)
+		h.recordCandidate(member)
 	}
 }
 
-// Candidates gives the blank members heard lately.
-func (h *Host) Candidates() []quorum.Member { return h.freshCandidates() }
+// Candidates returns the blank members with recent contact, sorted by ID.
+func (h *Host) Candidates() []quorum.Member { return h.recentCandidates() }
 
-// freshCandidates gives the blank members heard lately, in order of ID.
-func (h *Host) freshCandidates() []quorum.Member {
+// recentCandidates returns the blank members with recent contact, sorted by ID, and
+// forgets the others.
+func (h *Host) recentCandidates() []quorum.Member {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var members []quorum.Member
 	for id, c := range h.candidates {
-		if time.Since(c.heard) > candidateTTL {
+		if time.Since(c.lastContact) > candidateTTL {
 			delete(h.candidates, id)
 			continue
 		}
@@ -55,7 +56,7 @@
 	return quorum.NewMembership(members...).Members
 }
 
-func (h *Host) runReplacement() {
+func (h *Host) runReconcile() {
 	ticker := time.NewTicker(reconcileInterval)
 	defer ticker.Stop()
 	for {
@@ -68,14 +69,15 @@
 	}
 }
 
-// reconcile makes one change in one of the groups that this VM leads.
+// reconcile makes at most one membership change, in one of the groups that this VM
+// leads.
 func (h *Host) reconcile() {
 	view := repairView{
-		candidates: h.freshCandidates(),
-		target:     h.config.targetVoters(),
-		lostTicks:  int(h.config.ReplaceAfter / h.config.Tick),
-		retiring:   h.retiringVMs(),
-		least:      h.config.LeastVoters,
+		candidates:   h.recentCandidates(),
+		targetVoters: h.config.targetVoters(),
+		lostTicks:    int(h.config.ReplaceAfter / h.config.Tick),
+		retiring:     h.retiringVMs(),
+		minVoters:    h.config.LeastVoters,
 	}
 	for _, g := range h.groups {
 		if g.reconcile(view) {
@@ -84,6 +86,8 @@
 	}
 }
 
+// reconcile proposes the group's next membership change, if this member leads it and
+// one is due, and reports whether it did.
 func (g *group) reconcile(view repairView) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -91,36 +95,37 @@
 		return false
 	}
 	view.members = g.node.Status().Members
-	view.preferred, view.self = g.host.config.preferred(g.id), g.host.self.ID
-	view.request = g.request
-	if g.request != nil && !view.has(g.request.Old) && view.has(g.request.New.ID) {
-		g.request = nil
+	view.preferredClass, view.self = g.host.config.preferredClass(g.id), g.host.self.ID
+	view.replacement = g.pendingReplacement
+	if g.pendingReplacement != nil && !view.hasMember(g.pendingReplacement.Old) && view.hasMember(g.pendingReplacement.New.ID) {
+		g.pendingReplacement = nil
 	}
 	change, ok := nextChange(view)
 	if !ok {
-		g.preferLeader(view)
+		g.transferToPreferredClass(view)
 		return false
 	}
 	if _, err := g.node.ProposeChange(change); err != nil {
 		return false
 	}
-	g.host.logger.Info("membership change", zap.Uint32("group", g.id), zap.Uint8("kind", uint8(change.Kind)),
+	g.host.logger.Info("membership change proposed", zap.Uint32("group", g.id), zap.Uint8("kind", uint8(change.Kind)),
 		zap.Stringer("member", change.Member.ID), zap.String("vm", change.Member.VM))
 	g.flush()
 	return true
 }
 
-// preferLeader hands the group over to a voter of the preferred class. The VMs of
-// that class have the processor for it, and the loss of one VM then does not take
-// the leader of the configuration with that of the jobs. The mutex is held.
-func (g *group) preferLeader(view repairView) {
-	better, ok := view.betterLeader()
+// transferToPreferredClass transfers leadership to a voter of the preferred class. The
+// VMs of that class have the processor capacity for it, and the loss of one VM then
+// does not affect both the leader of the configuration and that of the jobs. The
+// caller holds the mutex.
+func (g *group) transferToPreferredClass(view repairView) {
+	preferred, ok := view.preferredLeader()
 	if !ok {
 		return
 	}
-	if err := g.node.Transfer(better); err != nil {
-		return // a transfer is under way, or the member has just left
+	if err := g.node.Transfer(preferred); err != nil {
+		return // a transfer is in progress, or the member has just left
 	}
-	g.host.logger.Info("leadership handed to the preferred class", zap.Uint32("group", g.id), zap.Stringer("member", better))
+	g.host.logger.Info("transferring leadership to a member of the preferred class", zap.Uint32("group", g.id), zap.Stringer("member", preferred))
 	g.flush()
 }
--- a/internal/replica/staging.go
+++ b/internal/replica/staging.go
@@ -12,38 +12,40 @@
 	"slateway.example/slateway/internal/wal"
 )
 
-// staging is the receiving side of a group's transfers: one at a time, into a
-// folder that counts for nothing until it is whole.
+// staging is the receiving side of a group's snapshot transfers. It accepts one
+// transfer at a time, into a folder that is ignored until the transfer is complete.
 type staging struct {
 	folder string
 
-	mu       sync.Mutex
-	transfer string
-	whole    bool // handed to the decision, not installed yet
+	mu         sync.Mutex
+	transferID string
+	sealed     bool // passed to the consensus node, not installed yet
 }
 
 var errStagingBusy = errors.New("another snapshot is being installed")
 
-func (s *staging) write(c *chunk) error {
+// writeChunk stores a chunk of the current transfer. A chunk with Begin starts a new
+// transfer, which replaces an incomplete one.
+func (s *staging) writeChunk(c *chunk) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.whole {
+	if s.sealed {
 		return errStagingBusy
 	}
 	if c.Begin {
 		if err := errors.Join(os.RemoveAll(s.folder), os.MkdirAll(s.folder, 0o700)); err != nil {
 			return err
 		}
-		s.transfer = c.Transfer
+		s.transferID = c.Transfer
 	}
-	if c.Transfer != s.transfer {
-		return fmt.Errorf("transfer %s was replaced by %s", c.Transfer, s.transfer)
+	if c.Transfer != s.transferID {
+		return fmt.Errorf("snapshot transfer %s was superseded by transfer %s", c.Transfer, s.transferID)
 	}
 	if c.Final != nil {
 		return nil
 	}
 	if !validName(c.Name) || crc32.Checksum(c.Data, castagnoli) != c.Checksum {
-		return fmt.Errorf("chunk of %q at %d is damaged", c.Name, c.Offset)
+		return fmt.Errorf("snapshot chunk of file %q at offset %d has an invalid name or checksum", c.Name, c.Offset)
 	}
 	file, err := os.OpenFile(filepath.Join(s.folder, c.Name), os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -53,7 +55,7 @@
 	return errors.Join(err, file.Close())
 }
 
-// seal checks that the files are whole and syncs them.
+// seal verifies that the files are complete and syncs them.
 func (s *staging) seal(meta quorum.SnapshotMeta) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,27 +69,27 @@
 		return err
 	}
 	if stored.Meta.Index != meta.Index || stored.Meta.Term != meta.Term {
-		return fmt.Errorf("snapshot at %d arrived where %d was announced", stored.Meta.Index, meta.Index)
+		return fmt.Errorf("received a snapshot at index %d, expected index %d", stored.Meta.Index, meta.Index)
 	}
 	if err := syncPath(path); err != nil {
 		return err
 	}
 	for _, file := range stored.Files {
-		if err := sealFile(filepath.Join(s.folder, file.Name+fileSuffix), file); err != nil {
+		if err := checkAndSyncFile(filepath.Join(s.folder, file.Name+fileSuffix), file); err != nil {
 			return err
 		}
 	}
-	s.whole = true
+	s.sealed = true
 	return wal.SyncFolder(s.folder)
 }
 
-func sealFile(path string, file File) error {
+func checkAndSyncFile(path string, file File) error {
 	info, err := os.Stat(path)
 	if err != nil {
 		return err
 	}
 	if !validName(file.Name) || info.Size() != file.Length {
-		return fmt.Errorf("file %q arrived with %d of %d bytes", file.Name, info.Size(), file.Length)
+		return fmt.Errorf("snapshot file %q was received with %d of %d bytes", file.Name, info.Size(), file.Length)
 	}
 	return syncPath(path)
 }
@@ -100,22 +102,22 @@
 	return errors.Join(file.Sync(), file.Close())
 }
 
-// discard lets the next transfer begin.
-func (s *staging) discard() {
+// reset allows the next transfer to start.
+func (s *staging) reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.whole = false
-	s.transfer = ""
+	s.sealed = false
+	s.transferID = ""
 }
 
-// handOver moves the whole snapshot to where the store installs it from.
-func (s *staging) handOver(install string) error {
+// moveTo moves the complete snapshot to the folder from which the store installs it.
+func (s *staging) moveTo(install string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := os.Rename(s.folder, install); err != nil {
-		return fmt.Errorf("hand over a snapshot: %w", err)
+		return fmt.Errorf("move a received snapshot to the install folder: %w", err)
 	}
-	s.whole = false
-	s.transfer = ""
+	s.sealed = false
+	s.transferID = ""
 	return wal.SyncFolder(filepath.Dir(install))
 }
--- a/internal/replica/transfer.go
+++ b/internal/replica/transfer.go
@@ -23,59 +23,61 @@
 	transferRetry = 500 * time.Millisecond
 )
 
-// chunk is a piece of a snapshot on its way to another member. The pieces of a
-// transfer come in order, one call at a time.
+// chunk is a part of a snapshot that is sent to another member. The chunks of a
+// transfer are sent in order, one call at a time.
 type chunk struct {
 	Group    uint32 `cbor:"1,keyasint"`
 	Transfer string `cbor:"2,keyasint"`
-	Begin    bool   `cbor:"3,keyasint,omitempty"` // first piece of the transfer
+	Begin    bool   `cbor:"3,keyasint,omitempty"` // first chunk of the transfer
 	Name     string `cbor:"4,keyasint,omitempty"` // file in the staging folder
 	Offset   int64  `cbor:"5,keyasint,omitempty"`
 	Data     []byte `cbor:"6,keyasint,omitempty"`
 	Checksum uint32 `cbor:"7,keyasint,omitempty"` // CRC-32C of Data
-	// Final ends the transfer: all files are whole.
+	// Final ends the transfer: all files have been sent.
 	Final   *quorum.Message `cbor:"8,keyasint,omitempty"`
 	From    quorum.ID       `cbor:"9,keyasint"`
 	Address string          `cbor:"10,keyasint"`
 }
 
-// pacer bounds the bytes a second that snapshots take, so that a repair does
-// not slow the changes that go on beside it.
-type pacer struct{ limiter *rate.Limiter }
+// transferLimiter limits the bytes per second of snapshot transfers, so that a repair
+// does not slow down concurrent changes.
+type transferLimiter struct{ limiter *rate.Limiter }
 
-func newPacer(bytesPerSecond int64) *pacer {
-	return &pacer{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), chunkSize)}
+func newTransferLimiter(bytesPerSecond int64) *transferLimiter {
+	return &transferLimiter{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), chunkSize)}
 }
 
-// startTransfer sends the newest snapshot to a member. The mutex is held.
+// startTransfer sends the newest snapshot to a member, unless a transfer to it is
+// running. The caller holds the mutex.
 func (g *group) startTransfer(to quorum.ID) {
-	if _, running := g.sending[to]; running {
+	if _, running := g.outgoingSnapshots[to]; running {
 		return
 	}
 	address := g.host.transport.addressOf(g.node.Membership(), to)
 	term := g.node.Term()
 	base := g.node.SnapshotMeta()
-	g.sending[to] = base.Index
+	g.outgoingSnapshots[to] = base.Index
 	g.host.spawn(func() {
-		index, err := g.transfer(address, to, term, base)
+		index, err := g.sendSnapshot(address, to, term, base)
 		g.host.config.Metrics.Count(metricTransfers)
 		if err != nil {
 			g.host.config.Metrics.Count(metricTransferFails)
-			g.host.logger.Warn("snapshot transfer", zap.Uint32("group", g.id), zap.String("to", address), zap.Error(err))
-			sleep(g.host.ctx, transferRetry)
+			g.host.logger.Warn("snapshot transfer failed", zap.Uint32("group", g.id), zap.String("to", address), zap.Error(err))
+			sleepContext(g.host.ctx, transferRetry)
 		} else {
 			g.host.logger.Info("snapshot sent", zap.Uint32("group", g.id), zap.Stringer("member", to), zap.String("to", address),
 				zap.Uint64("index", index))
 		}
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		delete(g.sending, to)
+		delete(g.outgoingSnapshots, to)
 		g.node.ReportSnapshot(to, index)
 		g.flush()
 	})
 }
 
-func sleep(ctx context.Context, d time.Duration) {
+// sleepContext sleeps for d or until ctx ends.
+func sleepContext(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -84,17 +86,17 @@
 	}
 }
 
-// outgoing is one transfer on the sending side.
-type outgoing struct {
+// outgoingTransfer is the sending side of a snapshot transfer.
+type outgoingTransfer struct {
 	group   *group
 	address string
 	id      string
-	begun   bool
+	started bool
 }
 
-// transfer sends the snapshot on disk and gives its index. base stands in for
-// a group that has taken no snapshot since it began.
-func (g *group) transfer(address string, to quorum.ID, term uint64, base quorum.SnapshotMeta) (uint64, error) {
+// sendSnapshot sends the snapshot on disk and returns its index. base is the metadata
+// to send for a group that has taken no snapshot yet.
+func (g *group) sendSnapshot(address string, to quorum.ID, term uint64, base quorum.SnapshotMeta) (uint64, error) {
 	stored, err := g.store.load()
 	if err != nil {
 		return 0, err
@@ -106,7 +108,7 @@
 	if err != nil {
 		return 0, err
 	}
-	o := &outgoing{group: g, address: address, id: uuid.NewString()}
+	o := &outgoingTransfer{group: g, address: address, id: uuid.NewString()}
 	if err := o.sendBytes(snapshotFile, encoded); err != nil {
 		return 0, err
 	}
@@ -118,13 +120,13 @@
 	final := quorum.Message{
 		Type: quorum.MsgSnapshot, From: g.host.self.ID, To: to, Term: term, Snapshot: &stored.Meta,
 	}
-	return stored.Meta.Index, o.call(chunk{Final: &final})
+	return stored.Meta.Index, o.sendChunk(chunk{Final: &final})
 }
 
-func (o *outgoing) sendBytes(name string, data []byte) error {
+func (o *outgoingTransfer) sendBytes(name string, data []byte) error {
 	for offset := 0; ; offset += chunkSize {
 		end := min(offset+chunkSize, len(data))
-		if err := o.call(chunk{Name: name, Offset: int64(offset), Data: data[offset:end]}); err != nil {
+		if err := o.sendChunk(chunk{Name: name, Offset: int64(offset), Data: data[offset:end]}); err != nil {
 			return err
 		}
 		if end == len(data) {
@@ -133,7 +135,7 @@
 	}
 }
 
-func (o *outgoing) sendFile(file File) error {
+func (o *outgoingTransfer) sendFile(file File) error {
 	opened, err := os.Open(o.group.store.path(filesFolder, file.Name))
 	if err != nil {
 		return fmt.Errorf("open a snapshot's file: %w", err)
@@ -145,7 +147,7 @@
 		if _, err := io.ReadFull(opened, part); err != nil {
 			return fmt.Errorf("read a snapshot's file: %w", err)
 		}
-		if err := o.call(chunk{Name: file.Name + fileSuffix, Offset: offset, Data: part}); err != nil {
+		if err := o.sendChunk(chunk{Name: file.Name + fileSuffix, Offset: offset, Data: part}); err != nil {
 			return err
 		}
 		offset += int64(len(part))
@@ -155,15 +157,15 @@
 	}
 }
 
-func (o *outgoing) call(c chunk) error {
+func (o *outgoingTransfer) sendChunk(c chunk) error {
 	h := o.group.host
-	if err := h.pacer.limiter.WaitN(h.ctx, len(c.Data)); err != nil {
+	if err := h.transferLimiter.limiter.WaitN(h.ctx, len(c.Data)); err != nil {
 		return err
 	}
-	c.Group, c.Transfer, c.Begin = o.group.id, o.id, !o.begun
+	c.Group, c.Transfer, c.Begin = o.group.id, o.id, !o.started
 	c.Checksum = crc32.Checksum(c.Data, castagnoli)
 	c.From, c.Address = h.self.ID, h.self.Address
-	o.begun = true
+	o.started = true
 	ctx, cancel := context.WithTimeout(h.ctx, chunkTimeout)
 	defer cancel()
 	_, err := rpc.Call(ctx, h.transport.client, o.address, procedureChunk, &c)
@@ -175,18 +177,18 @@
 		return nil, err
 	}
 	if c.Group >= uint32(len(h.groups)) {
-		return nil, fmt.Errorf("no group %d", c.Group)
+		return nil, fmt.Errorf("group %d does not exist", c.Group)
 	}
-	h.transport.hear(c.From, c.Address)
+	h.transport.recordAddress(c.From, c.Address)
 	g := h.groups[c.Group]
-	if err := g.staging.write(c); err != nil {
+	if err := g.staging.writeChunk(c); err != nil {
 		return nil, err
 	}
 	if c.Final == nil {
 		return &ack{}, nil
 	}
 	if c.Final.Snapshot == nil {
-		return nil, fmt.Errorf("the final chunk names no snapshot")
+		return nil, fmt.Errorf("the final chunk of a transfer contains no snapshot metadata")
 	}
 	if err := g.staging.seal(*c.Final.Snapshot); err != nil {
 		return nil, err
@@ -195,13 +197,14 @@
 	return &ack{}, nil
 }
 
-// acceptSnapshot lets the decision take the staged snapshot or refuse it.
+// acceptSnapshot passes the staged snapshot to the consensus node, which accepts or
+// rejects it.
 func (g *group) acceptSnapshot(m quorum.Message) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.node.Step(m)
 	if !g.node.InstallingSnapshot() {
-		g.staging.discard()
+		g.staging.reset()
 	}
 	g.flush()
 }
--- a/internal/replica/waiting.go
+++ b/internal/replica/waiting.go
@@ -7,62 +7,66 @@
 	"slateway.example/slateway/internal/quorum"
 )
 
-// proposal waits for its entry to be applied.
+// proposal is a caller of Propose that waits for its entry to be applied.
 type proposal struct {
 	term uint64
-	done chan outcome
+	done chan proposalResult
 }
 
-type outcome struct {
+type proposalResult struct {
 	result []byte
 	err    error
 }
 
-// read waits for a barrier: first for its index, then for that to be applied.
-type read struct {
+// pendingRead is a caller of ReadBarrier. It waits until its index is known and then
+// until that index is applied.
+type pendingRead struct {
 	index uint64 // zero until a majority has confirmed the leader
 	done  chan error
 }
 
-func (g *group) finishRead(id uint64, waiting *read) {
-	if waiting.index != 0 && waiting.index <= g.applied {
-		waiting.done <- nil
+// finishRead completes a read whose index is known and applied.
+func (g *group) finishRead(id uint64, pending *pendingRead) {
+	if pending.index != 0 && pending.index <= g.applied {
+		pending.done <- nil
 		delete(g.reads, id)
 	}
 }
 
-// giveUpWaiting ends the waits of a member that no longer leads. An entry that
-// was proposed here may still be committed by the next leader, so its proposer
-// first gets an election timeout in which to learn that.
-func (g *group) giveUpWaiting() {
+// failStaleWaiters fails the pending reads and proposals of a member that no longer
+// leads. The next leader may still commit an entry that was proposed here, so
+// proposals fail only after an election timeout in which this member can learn the
+// outcome. The caller holds the mutex.
+func (g *group) failStaleWaiters() {
 	if g.node.IsLeader() {
-		g.lostLead = 0
+		g.ticksSinceLeadership = 0
 		return
 	}
-	for id, waiting := range g.reads {
-		waiting.done <- g.notLeader()
+	for id, pending := range g.reads {
+		pending.done <- g.notLeader()
 		delete(g.reads, id)
 	}
 	if len(g.proposals) == 0 {
-		g.lostLead = 0
+		g.ticksSinceLeadership = 0
 		return
 	}
-	g.lostLead++
-	if g.lostLead > g.host.config.ElectionTicks {
+	g.ticksSinceLeadership++
+	if g.ticksSinceLeadership > g.host.config.ElectionTicks {
 		g.failProposals(errLeadershipLost)
 	}
 }
 
+// failProposals fails all pending proposals with an unknown outcome.
 func (g *group) failProposals(cause error) {
-	for index, waiting := range g.proposals {
-		waiting.done <- outcome{err: &OutcomeUnknownError{Group: g.id, Cause: cause}}
+	for index, pending := range g.proposals {
+		pending.done <- proposalResult{err: &OutcomeUnknownError{Group: g.id, Cause: cause}}
 		delete(g.proposals, index)
 	}
 }
 
-// notLeader names the leader that this member knows. It never names this VM,
-// which has just refused: a caller would come back at once, again and again.
-// The mutex is held.
+// notLeader returns an error with the leader that this member knows. The error never
+// refers to this VM, which has just rejected the call: the caller would retry here
+// immediately and repeatedly. The caller holds the mutex.
 func (g *group) notLeader() error {
 	leader, _ := g.leader()
 	if leader.ID == g.host.self.ID {
@@ -75,12 +79,12 @@
 }
 
 func (g *group) propose(ctx context.Context, data []byte) ([]byte, error) {
-	waiting, err := g.startProposal(data)
+	pending, err := g.startProposal(data)
 	if err != nil {
 		return nil, err
 	}
 	select {
-	case result := <-waiting.done:
+	case result := <-pending.done:
 		return result.result, result.err
 	case <-ctx.Done():
 		return nil, &OutcomeUnknownError{Group: g.id, Cause: ctx.Err()}
@@ -101,22 +105,22 @@
 		return nil, g.notLeader()
 	}
 	if older := g.proposals[index]; older != nil {
-		// Its entry was overwritten by a newer leader before this VM led again.
-		older.done <- outcome{err: g.notLeader()}
+		// A newer leader overwrote its entry before this VM became leader again.
+		older.done <- proposalResult{err: g.notLeader()}
 	}
-	waiting := &proposal{term: term, done: make(chan outcome, 1)}
-	g.proposals[index] = waiting
+	pending := &proposal{term: term, done: make(chan proposalResult, 1)}
+	g.proposals[index] = pending
 	g.flush()
-	return waiting, nil
+	return pending, nil
 }
 
 func (g *group) readBarrier(ctx context.Context) error {
-	id, waiting, err := g.startRead()
+	id, pending, err := g.startRead()
 	if err != nil {
 		return err
 	}
 	select {
-	case err := <-waiting.done:
+	case err := <-pending.done:
 		return err
 	case <-ctx.Done():
 		g.mu.Lock()
@@ -126,35 +130,35 @@
 	}
 }
 
-func (g *group) startRead() (uint64, *read, error) {
+func (g *group) startRead() (uint64, *pendingRead, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if err := g.host.stopped(); err != nil {
 		return 0, nil, err
 	}
-	g.nextRead++
-	id := g.nextRead
-	waiting := &read{done: make(chan error, 1)}
-	g.reads[id] = waiting
+	g.lastReadID++
+	id := g.lastReadID
+	pending := &pendingRead{done: make(chan error, 1)}
+	g.reads[id] = pending
 	if err := g.node.Read(id); err != nil {
 		delete(g.reads, id)
 		return 0, nil, g.notLeader()
 	}
 	g.flush()
-	return id, waiting, nil
+	return id, pending, nil
 }
 
-// finishProposal answers the proposer of the entry's index. An entry of another
-// term there proves that its own was overwritten and never committed.
+// finishProposal sends the result to the proposer of the entry at this index. If the
+// entry is of another term, the proposed entry was overwritten and never committed.
 func (g *group) finishProposal(entry quorum.Entry, result []byte) {
-	waiting := g.proposals[entry.Index]
-	if waiting == nil {
+	pending := g.proposals[entry.Index]
+	if pending == nil {
 		return
 	}
 	delete(g.proposals, entry.Index)
-	if waiting.term != entry.Term {
-		waiting.done <- outcome{err: g.notLeader()}
+	if pending.term != entry.Term {
+		pending.done <- proposalResult{err: g.notLeader()}
 		return
 	}
-	waiting.done <- outcome{result: result}
+	pending.done <- proposalResult{result: result}
 }
