--- a/internal/daemon/sitecontrol.go
+++ b/internal/daemon/sitecontrol.go
@@ -59,11 +59,11 @@
 	made, err := openKeeper(s, site.log.Logger, site.metrics, func(config *replica.Config) {
 		config.Address = s.Listen.Peers
 		config.Seeds = s.SeedPeers()
-		config.Found = s.Control.Found
+		config.Bootstrap = s.Control.Found
 		config.TargetVoters = votersFor(s.Control.Tolerance)
-		config.LeastVoters = 2*s.Control.Tolerance + 1
+		config.MinVoters = 2*s.Control.Tolerance + 1
 		config.Class = classOf(s)
-		config.Preferred = preferredClass
+		config.PreferredClass = preferredClass
 	})
 	if err != nil {
 		return nil, &DiskError{Folder: s.VM.DataFolder, Cause: err}
--- a/internal/keeper/configmachine.go
+++ b/internal/keeper/configmachine.go
@@ -30,7 +30,7 @@
 	return m
 }
 
-var _ replica.Machine = (*ConfigMachine)(nil)
+var _ replica.StateMachine = (*ConfigMachine)(nil)
 
 // Apply executes one operation and returns its encoded result: a team.Outcome for
 // a change, a tenure.Grant for the grant or end of a tenure, a routes.Outcome for
--- a/internal/keeper/jobmachine.go
+++ b/internal/keeper/jobmachine.go
@@ -23,7 +23,7 @@
 	changed  notifier       // notified when items may have become available or a job may have ended
 }
 
-var _ replica.Machine = (*JobMachine)(nil)
+var _ replica.StateMachine = (*JobMachine)(nil)
 
 // NewJobMachine creates an empty machine that stores its records in folder, which
 // must exist. It calls fail when a file cannot be written or read. fail must not
--- a/internal/keeper/keepertest/cluster.go
+++ b/internal/keeper/keepertest/cluster.go
@@ -87,7 +87,7 @@
 	config := replica.Config{
 		VM: k.VM, Address: k.Address, Folder: k.folder, Voters: c.voters, Groups: c.groups,
 		Client: &http.Client{Transport: k},
-		NewMachine: func(group uint32, folder string) (replica.Machine, error) {
+		NewStateMachine: func(group uint32, folder string) (replica.StateMachine, error) {
 			if group == keeperapi.ConfigGroup {
 				return options.Config, nil
 			}
--- a/internal/keeper/keepertest/local.go
+++ b/internal/keeper/keepertest/local.go
@@ -20,14 +20,14 @@
 
 type localGroup struct {
 	mu      sync.Mutex
-	machine replica.Machine
+	machine replica.StateMachine
 	index   uint64
 }
 
 var _ replica.Proposer = (*Local)(nil)
 
 // NewLocal creates a Local with one group for each machine.
-func NewLocal(machines ...replica.Machine) *Local {
+func NewLocal(machines ...replica.StateMachine) *Local {
 	local := &Local{}
 	for _, machine := range machines {
 		local.groups = append(local.groups, &localGroup{machine: machine})
--- a/internal/keeper/service_test.go
+++ b/internal/keeper/service_test.go
@@ -43,7 +43,7 @@
 
 func newFixture(sessionTTL, configLease time.Duration) *fixture {
 	config := keeper.NewConfigMachine()
-	machines := []replica.Machine{config}
+	machines := []replica.StateMachine{config}
 	var jobs []*keeper.JobMachine
 	for range groups - 1 {
 		machine := keeper.NewJobMachine(GinkgoT().TempDir(), func(err error) { panic(err) })
--- a/internal/replica/bootstrap.go
+++ b/internal/replica/bootstrap.go
@@ -215,7 +215,7 @@
 	if len(h.config.Seeds) == 0 {
 		return slices.ContainsFunc(h.config.Voters, func(v Voter) bool { return v.VM == h.config.VM })
 	}
-	return h.config.Found && slices.Contains(h.config.Seeds, h.self.Address)
+	return h.config.Bootstrap && slices.Contains(h.config.Seeds, h.self.Address)
 }
 
 // helloTargets returns the addresses to which this member introduces itself. A VM that
@@ -315,7 +315,7 @@
 
 func (h *Host) decideInitial(responses []helloResponse) (quorum.Membership, bool) {
 	if len(h.config.Seeds) > 0 {
-		return decideInitialFromSeeds(h.selfMember(), h.config.Seeds, h.config.Found, responses)
+		return decideInitialFromSeeds(h.selfMember(), h.config.Seeds, h.config.Bootstrap, responses)
 	}
 	return decideInitialFromVoters(h.selfMember(), h.config.Voters, responses)
 }
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -234,7 +234,7 @@
 	v.machines = nil
 	config := Config{
 		VM: v.name, Address: v.address, Folder: v.folder, Voters: v.voters, Groups: 1,
-		NewMachine: func(_ uint32, folder string) (Machine, error) {
+		NewStateMachine: func(_ uint32, folder string) (StateMachine, error) {
 			m := newLedger(folder)
 			v.machines = append(v.machines, m)
 			return m, nil
--- a/internal/replica/config.go
+++ b/internal/replica/config.go
@@ -31,23 +31,23 @@
 	// the list of voters; Voters is empty then. With Bootstrap, the VMs at these
 	// addresses bootstrap the groups together. Any other VM, and every VM without
 	// Bootstrap, only joins.
-	Seeds []string
-	Found bool
+	Seeds     []string
+	Bootstrap bool
 	// Class is the kind of this VM. PreferredClass returns the class from which the
 	// members of a group are chosen while any are available; nil: no group prefers a
 	// class.
-	Class     string
-	Preferred func(group uint32) string
+	Class          string
+	PreferredClass func(group uint32) string
 	// TargetVoters is the number of voters that the groups grow to as VMs join; zero:
 	// the number of Voters.
 	TargetVoters int
 	// MinVoters is the number of voters that remain in a group when a VM is retired
 	// without a replacement.
-	LeastVoters int
-	Groups      uint32
+	MinVoters int
+	Groups    uint32
 	// NewStateMachine creates the state machine of a group, which keeps its files in
 	// folder. Restore is called before any other method.
-	NewMachine func(group uint32, folder string) (Machine, error)
+	NewStateMachine func(group uint32, folder string) (StateMachine, error)
 
 	Tick           time.Duration // 50 ms
 	HeartbeatTicks int           // 2
@@ -145,7 +145,7 @@
 	switch {
 	case c.VM == "" || c.Address == "" || c.Folder == "":
 		return fmt.Errorf("replica: VM name, peer address and data folder must be set")
-	case c.Groups == 0 || c.NewMachine == nil:
+	case c.Groups == 0 || c.NewStateMachine == nil:
 		return fmt.Errorf("replica: at least one group and its state machine must be set")
 	case len(c.Voters) == 0 && len(c.Seeds) == 0:
 		return fmt.Errorf("replica: no initial voters and no seeds configured; set one of them")
@@ -161,10 +161,10 @@
 }
 
 func (c Config) preferredClass(group uint32) string {
-	if c.Preferred == nil {
+	if c.PreferredClass == nil {
 		return ""
 	}
-	return c.Preferred(group)
+	return c.PreferredClass(group)
 }
 
 // targetVoters returns the number of voters that the groups should have.
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -22,7 +22,7 @@
 	host    *Host
 	id      uint32
 	store   *store
-	machine Machine
+	machine StateMachine
 	wake    chan struct{}
 
 	mu                   sync.Mutex
@@ -65,7 +65,7 @@
 	if err := s.truncateFiles(stored.Files); err != nil {
 		return nil, err
 	}
-	machine, err := h.config.NewMachine(id, s.path(filesFolder))
+	machine, err := h.config.NewStateMachine(id, s.path(filesFolder))
 	if err != nil {
 		return nil, fmt.Errorf("create the state machine of group %d: %w", id, err)
 	}
--- a/internal/replica/locate_test.go
+++ b/internal/replica/locate_test.go
@@ -13,13 +13,13 @@
 	const jobs = 1
 	classes := map[string]string{"vm-0": "control", "vm-1": "control", "vm-2": "control"}
 	c := startCluster(t, 7, 3, func(config *Config) {
-		config.Groups, config.TargetVoters, config.LeastVoters = 2, 3, 3
+		config.Groups, config.TargetVoters, config.MinVoters = 2, 3, 3
 		config.ReplaceAfter = time.Second
 		config.Class = "store"
 		if class := classes[config.VM]; class != "" {
 			config.Class = class
 		}
-		config.Preferred = func(group uint32) string {
+		config.PreferredClass = func(group uint32) string {
 			if group == jobs {
 				return "store"
 			}
--- a/internal/replica/machine.go
+++ b/internal/replica/machine.go
@@ -17,7 +17,7 @@
 
 // StateMachine is the state that a group's log determines. The host calls it from one
 // goroutine at a time per group.
-type Machine interface {
+type StateMachine interface {
 	// Apply executes an entry. It must be deterministic: after a restart the same
 	// entries are applied again on top of the last snapshot. The result is returned to
 	// the proposer that waits on this VM.
--- a/internal/replica/replacement.go
+++ b/internal/replica/replacement.go
@@ -77,7 +77,7 @@
 		targetVoters: h.config.targetVoters(),
 		lostTicks:    int(h.config.ReplaceAfter / h.config.Tick),
 		retiring:     h.retiringVMs(),
-		minVoters:    h.config.LeastVoters,
+		minVoters:    h.config.MinVoters,
 	}
 	for _, g := range h.groups {
 		if g.reconcile(view) {
