--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,7 @@
-// Package daemon puts the parts of slatewayd together as the settings say: the
-// keeper's replicated state, the gate's routing and batch work, and the
-// listeners for callers, operators and the project's own processes.
+// Package daemon assembles slatewayd from its components according to the
+// settings: the keeper's replicated state, the gate's routing and batch
+// processing, and the listeners for callers, operators and other slateway
+// processes.
 package daemon
 
 import (
@@ -32,7 +33,7 @@
 	listeners []*listener
 }
 
-// New makes the parts; Run starts them.
+// New creates the components without starting them; Run starts them.
 func New(s settings.Settings, log *zap.Logger) (*Daemon, error) {
 	d := &Daemon{settings: s, log: log, metrics: telemetry.NewMetrics()}
 	d.calls = rpc.NewClient(peerClient(&s, d.metrics))
@@ -56,7 +57,8 @@
 	return d, nil
 }
 
-// keeperHost is the host of the replicated groups, nil unless a keeper.
+// keeperHost returns the host of the replicated groups, or nil if this VM is not
+// a keeper.
 func (d *Daemon) keeperHost() *replica.Host {
 	if d.keeper == nil {
 		return nil
@@ -64,8 +66,8 @@
 	return d.keeper.host
 }
 
-// Run serves until ctx ends, then drains: the gate finishes what is in
-// progress, and only then the keeper and the listeners stop.
+// Run serves until ctx ends, then drains: the gate finishes the requests in
+// progress before the keeper and the listeners stop.
 func (d *Daemon) Run(ctx context.Context) error {
 	failures := make(chan error, 1)
 	if err := d.listen(failures); err != nil {
@@ -87,7 +89,8 @@
 	return err
 }
 
-// wait returns nil when ctx ends, else what made the daemon unable to go on.
+// wait blocks until ctx ends and returns nil, or returns the error that prevents
+// the daemon from continuing.
 func (d *Daemon) wait(ctx context.Context, failures <-chan error) error {
 	var hostDone <-chan struct{}
 	if d.keeper != nil {
@@ -99,7 +102,7 @@
 	case err := <-failures:
 		return err
 	case <-hostDone:
-		return fmt.Errorf("the keeper stopped: %w; check the disk of %s, then start again or replace the member",
+		return fmt.Errorf("the keeper stopped: %w; check the disk of %s, then restart the daemon or replace the member",
 			errors.Join(d.keeper.host.Err()), d.settings.VM.DataFolder)
 	}
 }
--- a/internal/daemon/descriptors.go
+++ b/internal/daemon/descriptors.go
@@ -14,22 +14,24 @@
 )
 
 const (
-	// reservedDescriptors are kept for files, and for connections that this
-	// process opens itself.
+	// reservedDescriptors is the number of descriptors reserved for files and for
+	// outgoing connections.
 	reservedDescriptors = 400
-	// leastConnections is the least bound of a listener.
-	leastConnections = 16
-	// defaultDescriptors is assumed where the system does not tell its limit.
+	// minConnections is the minimum connection limit of a listener.
+	minConnections = 16
+	// defaultDescriptors is assumed if the system's limit cannot be read.
 	defaultDescriptors = 1024
-	// refusedLogInterval is how often refused connections are logged.
+	// refusedLogInterval is the minimum interval between log lines about refused
+	// connections.
 	refusedLogInterval = time.Second
 )
 
-// reasonTooManyConnections counts connections that were refused.
+// reasonTooManyConnections is the reason under which refused connections are
+// counted.
 const reasonTooManyConnections apierr.Reason = "too_many_connections"
 
-// connectionShares gives, by listener, its part of the descriptors that are not
-// reserved. The sum of any role's listeners stays below one.
+// connectionShares maps each listener to its share of the unreserved
+// descriptors. The shares of the listeners of any one role add up to less than 1.
 var connectionShares = map[string]float64{
 	"peers":     0.35,
 	"callers":   0.3,
@@ -39,7 +41,8 @@
 	"metrics":   0.02,
 }
 
-// descriptorLimit gives how many descriptors this process may have open.
+// descriptorLimit returns how many descriptors this process may have open: the
+// setting if positive, else the system's limit.
 func descriptorLimit(setting int) int {
 	if setting > 0 {
 		return setting
@@ -51,27 +54,28 @@
 	return int(min(limit.Cur, 1<<20))
 }
 
-// connectionBound gives how many connections of a listener may be open at once.
-func connectionBound(key string, descriptors int) int {
-	return max(leastConnections, int(connectionShares[key]*float64(descriptors-reservedDescriptors)))
+// connectionLimit returns how many connections a listener may have open at once.
+func connectionLimit(key string, descriptors int) int {
+	return max(minConnections, int(connectionShares[key]*float64(descriptors-reservedDescriptors)))
 }
 
-// refusal answers connections beyond the bound of a listener.
-type refusal struct {
+// connectionRefuser refuses connections beyond a listener's limit, and counts and logs them.
+type connectionRefuser struct {
 	site *Site
 	key  string
 
 	mu       sync.Mutex
-	count    int // since the last line
+	count    int // refused since the last log line
 	loggedAt time.Time
 }
 
-// overloadedAnswer names no replica and no gate, and is made once: refusing must be cheap.
-var overloadedAnswer = fmt.Appendf(nil,
+// overloadedResponse is the same for every connection and built once, so that
+// refusing stays cheap under overload.
+var overloadedResponse = fmt.Appendf(nil,
 	"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 
-func (r *refusal) refuse(connection net.Conn) {
-	_, _ = connection.Write(overloadedAnswer) // the buffer of a new connection takes it
+func (r *connectionRefuser) refuse(connection net.Conn) {
+	_, _ = connection.Write(overloadedResponse) // fits into the send buffer of a new connection, so it does not block
 	_ = connection.Close()
 	r.site.metrics.Refused(reasonTooManyConnections)
 	r.mu.Lock()
@@ -80,13 +84,13 @@
 	if time.Since(r.loggedAt) < refusedLogInterval {
 		return
 	}
-	r.site.log.Warn("connections refused, the listener's bound is reached", zap.String("listener", r.key), zap.Int("refused", r.count))
+	r.site.log.Warn("connections refused: the listener's connection limit is reached", zap.String("listener", r.key), zap.Int("refused", r.count))
 	r.count, r.loggedAt = 0, time.Now()
 }
 
-// bounded limits the connections of a listener.
-func (s *Site) bounded(key string, listener net.Listener) net.Listener {
-	limit := connectionBound(key, descriptorLimit(s.settings.Limits.Descriptors))
-	r := &refusal{site: s, key: key}
+// limitConnections wraps a listener with its connection limit.
+func (s *Site) limitConnections(key string, listener net.Listener) net.Listener {
+	limit := connectionLimit(key, descriptorLimit(s.settings.Limits.Descriptors))
+	r := &connectionRefuser{site: s, key: key}
 	return sockets.NewBound(listener, limit, r.refuse)
 }
--- a/internal/daemon/dial.go
+++ b/internal/daemon/dial.go
@@ -15,21 +15,22 @@
 const (
 	// peerIdleTimeout is how long an idle connection to another process is kept.
 	peerIdleTimeout = 30 * time.Second
-	// maxPeerConnections bounds the idle connections to one process.
+	// maxPeerConnections limits the idle connections to one process.
 	maxPeerConnections = 32
-	// peerDialGap is how long a connection may take before another one is begun: well
-	// over a round trip between places.
-	peerDialGap = 100 * time.Millisecond
-	// peersCounter names the bytes between the project's own processes.
+	// peerRedialDelay is how long a connection attempt may take before a second one is
+	// started in parallel: well over a round trip between places.
+	peerRedialDelay = 100 * time.Millisecond
+	// peersCounter is the name under which traffic between slateway processes is
+	// counted.
 	peersCounter = "peers"
 )
 
 func dialer(timeout time.Duration) *net.Dialer { return sockets.Dialer(timeout, 0) }
 
-// peerClient makes the HTTP client for calls to the project's own processes.
-// Deadlines come with each call.
+// peerClient creates the HTTP client for calls to other slateway processes. It
+// has no timeout of its own: each call sets its deadline.
 func peerClient(s *settings.Settings, metrics *telemetry.Metrics) *http.Client {
-	peers := peerDialer{timeout: s.Timeouts.Dial, unanswered: s.Timeouts.Unanswered, source: sourceIP(s.Listen.Peers)}
+	peers := peerDialer{timeout: s.Timeouts.Dial, unackedTimeout: s.Timeouts.Unanswered, source: sourceIP(s.Listen.Peers)}
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         metrics.CountDial(peersCounter, peers.dial),
 		MaxIdleConnsPerHost: maxPeerConnections,
@@ -37,17 +38,18 @@
 	}}
 }
 
-// peerDialer connects from the IP address that this VM listens on for peers. A
-// VM with several addresses would else show whichever the route gives, and
-// rules by address between the VMs, such as a firewall's, would not fit.
+// peerDialer connects from the IP address on which this VM listens for peers.
+// Otherwise the source address of a VM with several addresses would depend on
+// the route, and address-based rules between the VMs, such as a firewall's, would
+// not match.
 type peerDialer struct {
-	timeout    time.Duration
-	unanswered time.Duration
-	source     netip.Addr // invalid: any
+	timeout        time.Duration
+	unackedTimeout time.Duration
+	source         netip.Addr // the zero value: any address
 }
 
-// sourceIP gives the address to connect from; invalid when the VM listens on
-// all of its addresses.
+// sourceIP returns the address to connect from, or the zero value if the VM
+// listens on all of its addresses.
 func sourceIP(listen string) netip.Addr {
 	address, err := netip.ParseAddrPort(listen)
 	if err != nil || address.Addr().IsUnspecified() {
@@ -57,20 +59,20 @@
 }
 
 func (p peerDialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	d := sockets.Dialer(p.timeout, p.unanswered)
-	if p.reaches(address) {
+	d := sockets.Dialer(p.timeout, p.unackedTimeout)
+	if p.canReach(address) {
 		d.LocalAddr = &net.TCPAddr{IP: p.source.AsSlice()}
 	}
 	ctx, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
-	return sockets.DialAgain(ctx, peerDialGap, func(ctx context.Context) (net.Conn, error) {
+	return sockets.DialAgain(ctx, peerRedialDelay, func(ctx context.Context) (net.Conn, error) {
 		return d.DialContext(ctx, network, address)
 	})
 }
 
-// reaches reports whether a connection from the source address can get to the
-// target: both of one family, and both or neither on the loopback.
-func (p peerDialer) reaches(address string) bool {
+// canReach reports whether the target can be reached from the source address:
+// both must be of the same address family, and both or neither on the loopback.
+func (p peerDialer) canReach(address string) bool {
 	target, err := netip.ParseAddrPort(address)
 	if err != nil || !p.source.IsValid() {
 		return false
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -13,18 +13,19 @@
 	"slateway.example/slateway/internal/settings"
 )
 
-// reasonDraining is the reason of refusals at the end of a drain.
+// reasonDraining is the reason given for requests refused late in a drain.
 const reasonDraining apierr.Reason = "gate_draining"
 
-// drainPoll is how often a draining gate looks how far it is.
+// drainPoll is how often a draining gate checks whether it has finished.
 const drainPoll = 50 * time.Millisecond
 
-// drain is the gate's way out after SIGTERM.
+// drain tracks the gate's shutdown after SIGTERM and the caller requests that it
+// must wait for.
 type drain struct {
 	mu         sync.Mutex
-	decide     *directory.Drain
+	policy     *directory.Drain
 	started    bool
-	inProgress int // requests that callers wait for, as the listener counts them
+	inProgress int // callers' requests between beginRequest and endRequest
 }
 
 func newDrain(s *settings.Settings) *drain {
@@ -33,10 +34,10 @@
 		Spread:   directory.DefaultSpread,
 		Longest:  s.Timeouts.Drain,
 	}
-	return &drain{decide: directory.NewDrain(config)}
+	return &drain{policy: directory.NewDrain(config)}
 }
 
-func (d *drain) begun() bool {
+func (d *drain) hasBegun() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.started
@@ -46,21 +47,22 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.started = true
-	d.decide.Begin(time.Now())
+	d.policy.Begin(time.Now())
 }
 
 func (d *drain) phase() directory.Phase {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.decide.Phase(time.Now(), d.inProgress)
+	return d.policy.Phase(time.Now(), d.inProgress)
 }
 
-// enter counts a request in, unless the drain takes nothing new any more. Both
-// are decided under one lock: a request is either refused or waited for.
-func (d *drain) enter() bool {
+// beginRequest registers a request and returns true, or returns false if the drain no
+// longer accepts requests. Check and count share one lock, so that every request
+// is either refused or waited for.
+func (d *drain) beginRequest() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	phase := d.decide.Phase(time.Now(), d.inProgress)
+	phase := d.policy.Phase(time.Now(), d.inProgress)
 	if phase == directory.Finishing || phase == directory.Stopped {
 		return false
 	}
@@ -68,31 +70,31 @@
 	return true
 }
 
-func (d *drain) leave() {
+func (d *drain) endRequest() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.inProgress--
 }
 
-// wrap counts the requests in progress. Past the time in which callers may hold
-// this gate's address, a request that comes over an old connection is refused;
-// its caller asks the directory anew.
-func (d *drain) wrap(next http.Handler) http.Handler {
+// trackRequests counts the requests in progress. Once no caller can still hold this
+// gate's address from a valid directory answer, a request over an old connection
+// is refused, and its caller queries the directory again.
+func (d *drain) trackRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !d.enter() {
+		if !d.beginRequest() {
 			w.Header().Set("Connection", "close")
 			apierr.WriteHTTP(w, apierr.New(apierr.Unavailable, reasonDraining,
 				"ask /v1/entries of another gate for gates to use", "this gate is shutting down").WithRetryAfter(time.Millisecond))
 			return
 		}
-		defer d.leave()
+		defer d.endRequest()
 		next.ServeHTTP(w, r)
 	})
 }
 
-// drain takes the gate out of the directory, ends batch work, and serves on
-// until every answer that names this gate has run out and the last request has
-// been answered.
+// drain removes the gate from the directory, stops batch processing, and keeps
+// serving until every directory answer that lists this gate has expired and the
+// last request has been answered.
 func (g *gateRole) drain(ctx context.Context) {
 	g.draining.begin()
 	g.fleet.SetDraining()
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -18,18 +18,18 @@
 	"slateway.example/slateway/internal/settings"
 )
 
-// fleetView answers the APIs' questions about the VMs.
+// fleetView implements the queries of the APIs about the fleet's VMs.
 type fleetView struct {
 	settings *settings.Settings
 	fleet    *fleet.Fleet
 	host     *replica.Host // nil unless a keeper
-	serving  func() bool   // whether this gate may be named to callers; nil unless a gate
+	serving  func() bool   // whether the directory may list this gate; nil unless a gate
 
 	mu        sync.Mutex
 	directory *directory.Directory
 }
 
-// newFleet opens this VM's membership.
+// newFleet creates this VM's membership in the fleet.
 func newFleet(d *Daemon) (*fleet.Fleet, error) {
 	s := &d.settings
 	vm := member.VM{
@@ -65,7 +65,7 @@
 	}
 }
 
-// Entries tells a caller which gates to use.
+// Entries returns the gates that a caller in the place should use.
 func (f *fleetView) Entries(place string) (directory.Answer, error) {
 	input := directory.Input{
 		Serving:     f.serving != nil && f.serving() && !f.fleet.Alone(),
@@ -84,8 +84,8 @@
 	return f.directory.Decide(input)
 }
 
-// Members lists the VMs of the own place, and those of other places that are
-// known by name.
+// Members returns the VMs of this VM's place, and the contacts known in other
+// places.
 func (f *fleetView) Members(ctx context.Context) []*members.Member {
 	var list []*members.Member
 	for _, m := range f.fleet.Members() {
@@ -121,7 +121,7 @@
 	return result
 }
 
-// contactResults lists the VMs of another place that this one knows by name.
+// contactResults returns the known contacts in another place.
 func contactResults(area *member.PlaceArea) []*members.Member {
 	state := member.Alive.String()
 	if area.Stale {
@@ -163,13 +163,15 @@
 	return result
 }
 
-// reasonNotKeeper is the reason of operators' calls to a VM without the role.
+// reasonNotKeeper is the reason for refusing an operator's call that only a
+// keeper can serve.
 const reasonNotKeeper apierr.Reason = "not_a_keeper"
 
-// Replace puts the blank disk of vm in the place of the one it lost.
+// Replace replaces the group member on vm, whose disk was lost, by a new member
+// on that VM's blank disk.
 func (f *fleetView) Replace(ctx context.Context, vm string) error {
 	if f.host == nil {
-		return apierr.New(apierr.Invalid, reasonNotKeeper, "ask the operators' address of a keeper", "this VM is not a keeper")
+		return apierr.New(apierr.Invalid, reasonNotKeeper, "send the call to the operators address of a keeper", "this VM is not a keeper")
 	}
 	return f.host.ReplaceMember(ctx, vm, vm)
 }
@@ -177,25 +179,25 @@
 var _ api.Fleet = (*fleetView)(nil)
 
 const (
-	// gateLoadInterval is how often the gate's own load is looked at.
+	// gateLoadInterval is how often the gate's own load is sampled.
 	gateLoadInterval = time.Second
-	// gateLoadStep is the change of the load, as a share of the capacity, that
-	// the place is told of; less does not change where callers go.
-	gateLoadStep = 0.05
+	// minGateLoadChange is the smallest change of the load that is published, as a share
+	// of the capacity. Smaller changes do not affect where callers go.
+	minGateLoadChange = 0.05
 )
 
-// publishGateLoad tells the place how busy this gate is until ctx ends.
+// publishGateLoad publishes this gate's load to its place until ctx ends.
 func publishGateLoad(ctx context.Context, members *fleet.Fleet, inFlight func() int, capacity int, log *zap.Logger) {
 	ticker := time.NewTicker(gateLoadInterval)
 	defer ticker.Stop()
-	told := -capacity
+	published := -capacity
 	for {
 		now := inFlight()
-		if diff := now - told; float64(max(diff, -diff)) >= gateLoadStep*float64(capacity) {
-			told = now
+		if diff := now - published; float64(max(diff, -diff)) >= minGateLoadChange*float64(capacity) {
+			published = now
 			load := directory.GateLoad{InProgress: now, Capacity: capacity}
 			if err := members.SetDigest(fleet.KindGateLoad, load.Encode()); err != nil {
-				log.Warn("load of the gate not spread", zap.Error(err))
+				log.Warn("the gate's load could not be published", zap.Error(err))
 			}
 		}
 		select {
--- a/internal/daemon/gate.go
+++ b/internal/daemon/gate.go
@@ -23,7 +23,8 @@
 	"slateway.example/slateway/internal/settings"
 )
 
-// gateRole is what callers and upstreams talk to on this VM.
+// gateRole serves the requests of callers and the announcements of upstreams on
+// this VM.
 type gateRole struct {
 	log      *zap.Logger
 	settings *settings.Settings
@@ -92,7 +93,8 @@
 	return g
 }
 
-// newOrders makes this gate's part in ordering the place's engines.
+// newOrders creates the reconciler that sends model load orders to the engines of
+// the place.
 func newOrders(d *Daemon, client *keeperclient.Client, g *gateRole) *orders.Reconciler {
 	s := &d.settings
 	return orders.New(orders.Options{
@@ -115,9 +117,9 @@
 	})
 }
 
-// heartbeatsPerLease is how often a batch session is renewed in its lifetime,
-// so that a few lost heartbeats do not end it. A heartbeat also tells the gate
-// which jobs were cancelled, so the pace bounds how long their items run on.
+// heartbeatsPerLease is how often a batch session is renewed within its lease, so
+// that a few lost heartbeats do not end it. The reply to a heartbeat also lists
+// cancelled jobs, so the interval limits how long their items keep running.
 const heartbeatsPerLease = 10
 
 func (g *gateRole) start(ctx context.Context) {
@@ -137,6 +139,6 @@
 	g.batch.Go(func() { g.runner.Run(batchContext) })
 }
 
-// serving says whether callers may be sent here: a gate without a configuration
-// lease would refuse them.
-func (g *gateRole) serving() bool { return !g.draining.begun() && !g.access.Stale() }
+// serving reports whether callers may be sent to this gate. A gate without a
+// configuration lease would refuse them.
+func (g *gateRole) serving() bool { return !g.draining.hasBegun() && !g.access.Stale() }
--- a/internal/daemon/keeper.go
+++ b/internal/daemon/keeper.go
@@ -15,7 +15,7 @@
 	"slateway.example/slateway/internal/telemetry"
 )
 
-// keeperRole is the replicated state on this VM's disk.
+// keeperRole hosts this VM's replicas of the replicated groups on its disk.
 type keeperRole struct {
 	host    *replica.Host
 	config  *keeper.ConfigMachine
@@ -26,17 +26,17 @@
 	return openKeeper(s, log, metrics, func(config *replica.Config) { config.Voters = voters(s) })
 }
 
-// openKeeper opens the replicated state; members says in the configuration who
-// its members are.
+// openKeeper opens the replicated state on disk. members sets the fields of the
+// configuration that determine the groups' members.
 func openKeeper(s *settings.Settings, log *zap.Logger, metrics *telemetry.Metrics, members func(*replica.Config)) (*keeperRole, error) {
 	config := keeper.NewConfigMachine()
 	jobs := make([]*keeper.JobMachine, s.Quorum.JobGroups)
-	// A replica that cannot write a record would differ from the others from
-	// there on. Stopping is safe: what was acknowledged is in the log, and a new
-	// start replays it. The goroutine that applies the log must not go on.
+	// A replica that cannot write a record would diverge from the others. Stopping
+	// is safe: acknowledged entries are in the log and are replayed at the next
+	// start. Goexit keeps the applying goroutine from continuing after the failure.
 	var host *replica.Host
 	fail := func(err error) {
-		log.Error("a file of the replicated state failed", zap.Error(err))
+		log.Error("reading or writing a file of the replicated state failed", zap.Error(err))
 		host.Fail(err)
 		runtime.Goexit()
 	}
@@ -83,7 +83,8 @@
 	return &keeperRole{host: host, config: config, service: service}, nil
 }
 
-// ticksPerHeartbeat is how finely the agreement sees time.
+// ticksPerHeartbeat is the number of ticks of the consensus protocol in one
+// heartbeat interval.
 const ticksPerHeartbeat = 2
 
 func voters(s *settings.Settings) []replica.Voter {
@@ -94,7 +95,8 @@
 	return list
 }
 
-// leaderAddress gives where the leader of a group is, as this VM knows it.
+// leaderAddress returns the address of a group's leader, as far as this VM knows
+// it.
 func (k *keeperRole) leaderAddress(group uint32) string {
 	leader, _ := k.host.Leader(group)
 	return leader.Address
@@ -107,7 +109,7 @@
 
 func (k *keeperRole) stop() { k.host.Stop() }
 
-// keepers makes a client of the keepers that the settings name.
+// keepers returns a new client of the keepers that are listed in the settings.
 func (d *Daemon) keepers() *keeperclient.Client {
 	addresses := make([]string, len(d.settings.Keepers))
 	for i, k := range d.settings.Keepers {
--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// headerTimeout bounds how long a client may take to send its headers.
+	// headerTimeout limits how long a client may take to send its headers.
 	headerTimeout = 10 * time.Second
-	// shutdownTimeout bounds the end of a listener after the drain.
+	// shutdownTimeout limits the shutdown of a listener after the drain.
 	shutdownTimeout = 2 * time.Second
 )
 
@@ -25,11 +25,11 @@
 	socket net.Listener
 }
 
-// newListener binds the address.
-func newListener(key, address string, handler http.Handler, unanswered time.Duration) (*listener, error) {
-	socket, err := sockets.Listen(context.Background(), address, unanswered)
+// newListener binds the address and creates the server for it.
+func newListener(key, address string, handler http.Handler, unackedTimeout time.Duration) (*listener, error) {
+	socket, err := sockets.Listen(context.Background(), address, unackedTimeout)
 	if err != nil {
-		return nil, fmt.Errorf("listen.%s = %q: %w; free the port or name another", key, address, err)
+		return nil, fmt.Errorf("listen.%s = %q: %w; free the port or set another address", key, address, err)
 	}
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
@@ -49,17 +49,18 @@
 	}
 }
 
-// shutdown waits for the requests in progress, and cuts those that take longer.
-func (l *listener) shutdown(longest time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), longest)
+// shutdown waits up to timeout for the requests in progress, then closes the
+// remaining connections.
+func (l *listener) shutdown(timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	if l.server.Shutdown(ctx) != nil {
 		_ = l.server.Close()
 	}
 }
 
-// listen binds all addresses before any of them is served, so that a clash
-// ends the start in one clear line.
+// listen binds all addresses before it serves any of them, so that a port that
+// is in use fails the start with one clear error.
 func (d *Daemon) listen(failures chan<- error) error {
 	addresses := d.settings.Listen
 	if err := d.add("peers", addresses.Peers, d.peersHandler()); err != nil {
@@ -125,10 +126,11 @@
 			front.ServeService(w, r, server.PathValue(r, "service"), "/"+server.PathValue(r, "path"))
 		})
 	}
-	return d.gate.draining.wrap(server.Handler())
+	return d.gate.draining.trackRequests(server.Handler())
 }
 
-// serviceMethods are the methods that plain services may be called with.
+// serviceMethods are the HTTP methods forwarded to upstreams that are not LLM
+// APIs.
 var serviceMethods = []string{
 	http.MethodGet, http.MethodHead, http.MethodOptions,
 	http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete,
--- a/internal/daemon/ready.go
+++ b/internal/daemon/ready.go
@@ -6,25 +6,23 @@
 )
 
 const (
-	// readyPoll is how often a starting gate looks whether it is ready.
+	// readyPoll is how often a starting gate checks whether it is ready.
 	readyPoll = 50 * time.Millisecond
-	// readySettle is the wait after the first upstream is known: by then each
-	// other one has announced itself, or another gate has spread it.
-	readySettle = 1500 * time.Millisecond
-	// readyWithout is the wait for a first upstream; a site may have none yet.
-	readyWithout = 5 * time.Second
+	// upstreamSettleTime is the wait after the first upstream is known. By then every
+	// other upstream has announced itself here or was relayed by another gate.
+	upstreamSettleTime = 1500 * time.Millisecond
+	// firstUpstreamTimeout limits the wait for a first upstream, since a site may have none.
+	firstUpstreamTimeout = 5 * time.Second
 )
 
-// awaitReady lets the gate be named to callers once it can serve them.
-//
-// Failure guarded against: a gate restarts, and the others name it as soon as
-// they see it alive. It has no configuration or no upstream yet, and refuses the
-// callers that are sent to it with no_upstream, though every other gate could
-// have served them.
+// awaitReady marks the gate as ready for the directory once it can serve callers.
+// If a restarted gate were listed as soon as it is alive, it would refuse callers
+// with no_upstream until it has a configuration and upstreams, although every
+// other gate could serve them.
 func (g *gateRole) awaitReady(ctx context.Context) {
 	ticker := time.NewTicker(readyPoll)
 	defer ticker.Stop()
-	var leased, known time.Time
+	var leasedAt, knownAt time.Time
 	for {
 		select {
 		case <-ctx.Done():
@@ -33,12 +31,12 @@
 			if g.access.Stale() {
 				continue
 			}
-			leased = orNow(leased, now)
+			leasedAt = timeOr(leasedAt, now)
 			if len(g.router.Upstreams()) > 0 {
-				known = orNow(known, now)
+				knownAt = timeOr(knownAt, now)
 			}
-			settled := !known.IsZero() && now.Sub(known) >= readySettle
-			if settled || (known.IsZero() && now.Sub(leased) >= readyWithout) {
+			settled := !knownAt.IsZero() && now.Sub(knownAt) >= upstreamSettleTime
+			if settled || (knownAt.IsZero() && now.Sub(leasedAt) >= firstUpstreamTimeout) {
 				g.fleet.SetReady()
 				return
 			}
@@ -46,8 +44,8 @@
 	}
 }
 
-// orNow keeps the first moment.
-func orNow(first, now time.Time) time.Time {
+// timeOr returns first if it is set, else now.
+func timeOr(first, now time.Time) time.Time {
 	if first.IsZero() {
 		return now
 	}
--- a/internal/daemon/site.go
+++ b/internal/daemon/site.go
@@ -19,8 +19,9 @@
 	"slateway.example/slateway/internal/telemetry"
 )
 
-// Edge is how a site of control VMs speaks to those outside: its handlers decode
-// their messages, call the product and encode its answers.
+// Edge creates the protocol handlers of a site of control VMs. Each handler
+// decodes the messages of external clients, calls the service behind it and
+// encodes the answer.
 type Edge struct {
 	Callers      func(routed *gate.RouteHandler, jobs *gate.Jobs) http.Handler
 	Readiness    func(ready func() bool) http.Handler
@@ -30,20 +31,20 @@
 	Refuse       func(w http.ResponseWriter, err error)
 }
 
-// Entries tells callers in a place which gates to use.
+// Entries answers which gates the callers of a place should use.
 type Entries interface {
 	Entries(place string) (directory.Answer, error)
 }
 
-// DiskError says that the data folder's disk failed while it was in use. What was
-// acknowledged lies on the other VMs; this one can begin again from its folder.
+// DiskError reports that the disk of the data folder failed. Acknowledged data is
+// on the other VMs too, so this VM can restart from its folder.
 type DiskError struct {
 	Folder string
 	Cause  error
 }
 
 func (e *DiskError) Error() string {
-	return fmt.Sprintf("the disk of %s failed: %v; free it or replace it", e.Folder, e.Cause)
+	return fmt.Sprintf("the disk of %s failed: %v; free space on it or replace it", e.Folder, e.Cause)
 }
 
 func (e *DiskError) Unwrap() error { return e.Cause }
@@ -55,33 +56,33 @@
 	metrics *telemetry.Metrics
 	calls   *rpc.Client
 
-	settings settings.Settings // as at the start
+	settings settings.Settings // as read at the start
 
 	mu       sync.Mutex
-	reloaded settings.Settings // as last read
+	reloaded settings.Settings // as read last
 
 	control   *siteControl // nil unless a control or store VM
 	gate      *siteGate    // nil without the role
 	listeners []*listener
 }
 
-// NewSite makes the parts; Run starts them.
+// NewSite creates the components without starting them; Run starts them.
 func NewSite(s settings.Settings, edge Edge, log *telemetry.Log) (*Site, error) {
 	site := &Site{settings: s, reloaded: s, edge: edge, log: log, metrics: telemetry.NewMetrics()}
 	site.calls = rpc.NewClient(peerClient(&s, site.metrics))
 	if s.Is(settings.RoleControl) || s.Is(settings.RoleStore) {
-		made, err := newSiteControl(site)
+		role, err := newSiteControl(site)
 		if err != nil {
 			return nil, err
 		}
-		site.control = made
+		site.control = role
 	}
 	if s.Is(settings.RoleGate) {
-		made, err := newSiteGate(site)
+		role, err := newSiteGate(site)
 		if err != nil {
 			return nil, err
 		}
-		site.gate = made
+		site.gate = role
 	}
 	return site, nil
 }
@@ -100,7 +101,7 @@
 	if s.gate != nil {
 		s.gate.start(background)
 	}
-	go watchStandstill(background, s.log.Logger)
+	go watchForPauses(background, s.log.Logger)
 	s.log.Info("serving", zap.String("vm", s.settings.VM.Name), zap.Any("roles", s.settings.VM.Roles),
 		zap.Strings("seeds", s.settings.Control.Seeds), zap.Bool("found", s.settings.Control.Found))
 	err := s.wait(ctx, failures)
@@ -108,7 +109,8 @@
 	return err
 }
 
-// wait returns nil when ctx ends, else what made the daemon unable to go on.
+// wait blocks until ctx ends and returns nil, or returns the error that prevents
+// the daemon from continuing.
 func (s *Site) wait(ctx context.Context, failures <-chan error) error {
 	var hostDone <-chan struct{}
 	if s.control != nil {
@@ -139,12 +141,10 @@
 	s.log.Info("stopped")
 }
 
-// closeListeners ends all listeners at the same time, within what is left of the
-// drain's time.
-//
-// Failure guarded against: requests that wait for a replica which does not answer
-// are still there at the end of the drain. Waited for at one listener after the
-// other, the process is killed before it has ended, and says nothing of them.
+// closeListeners shuts down all listeners in parallel, within the remaining drain
+// time. Requests to a replica that does not answer may still be in progress then.
+// If the listeners waited for them one after the other, the process would be
+// killed before it has logged them.
 func (s *Site) closeListeners() {
 	var closing sync.WaitGroup
 	for _, l := range s.listeners {
@@ -162,7 +162,7 @@
 			}
 			return err
 		}
-		l.socket = s.bounded(entry.key, l.socket)
+		l.socket = s.limitConnections(entry.key, l.socket)
 		s.listeners = append(s.listeners, l)
 	}
 	for _, l := range s.listeners {
@@ -171,34 +171,34 @@
 	return nil
 }
 
-// served is one address and what it serves.
-type served struct {
-	key, address string
+// endpoint is a listening address with its handler.
+type endpoint struct {
+	key, address string // key is the name below listen in the settings
 	handler      http.Handler
 }
 
-func (s *Site) handlers() []served {
+func (s *Site) handlers() []endpoint {
 	addresses := s.settings.Listen
 	peers := http.NewServeMux()
 	metrics := http.NewServeMux()
 	metrics.Handle("GET /metrics", s.metrics.TextHandler())
-	list := []served{{"peers", addresses.Peers, peers}, {"metrics", addresses.Metrics, metrics}}
+	list := []endpoint{{"peers", addresses.Peers, peers}, {"metrics", addresses.Metrics, metrics}}
 	if s.control != nil {
 		s.control.mount(peers)
 	}
 	if s.control != nil && s.control.service != nil {
 		list = append(list,
-			served{"control", addresses.Control, s.edge.Control(s.control.service)},
-			served{"directory", addresses.Directory, s.edge.Directory(s.control.service)})
+			endpoint{"control", addresses.Control, s.edge.Control(s.control.service)},
+			endpoint{"directory", addresses.Directory, s.edge.Directory(s.control.service)})
 	}
 	if s.gate != nil {
 		s.gate.exchange.Mount(peers)
 		s.gate.follower.Mount(peers)
 		metrics.HandleFunc("GET "+credit.PathCaps, s.gate.credit.ServeCaps)
 		list = append(list,
-			served{"callers", addresses.Callers, s.gate.handler(s.edge)},
-			served{"readiness", addresses.Readiness, s.edge.Readiness(s.gate.ready)},
-			served{"directory", addresses.Directory, s.edge.Directory(s.gate.entries)})
+			endpoint{"callers", addresses.Callers, s.gate.handler(s.edge)},
+			endpoint{"readiness", addresses.Readiness, s.edge.Readiness(s.gate.ready)},
+			endpoint{"directory", addresses.Directory, s.edge.Directory(s.gate.entries)})
 	}
 	return list
 }
--- a/internal/daemon/sitecontrol.go
+++ b/internal/daemon/sitecontrol.go
@@ -14,39 +14,41 @@
 	"slateway.example/slateway/internal/settings"
 )
 
-// siteControl is the role of a VM with a disk: its part of the replicated state
-// and, on a control VM, what replicas, operators and gates ask of it.
+// siteControl is the role of a control or store VM: its replicas of the
+// replicated groups and, on a control VM, the service for replicas, operators and
+// gates.
 type siteControl struct {
 	keeper  *keeperRole
 	service *control.Service // nil on a store VM
 }
 
-// spareVoters is how many voters there are beyond what the tolerance needs. With
-// two, a VM may be lost for good and its successor still be on its way while
-// another one is lost: the next repair need not be in haste.
-const spareVoters = 2
+// extraVoters is the number of voters beyond those that the tolerance needs. With
+// two, another VM may be lost while the replacement of a lost one is not complete,
+// so repairs are not urgent.
+const extraVoters = 2
 
-// votersFor gives how many voters bear the loss of tolerance VMs, and one more
-// loss while the first is being repaired.
-func votersFor(tolerance int) int { return 2*tolerance + 1 + spareVoters }
+// targetVoters returns the number of voters that survives the loss of tolerance VMs
+// and one more loss while the first is being repaired.
+func targetVoters(tolerance int) int { return 2*tolerance + 1 + extraVoters }
 
-// sitePatience is how long the leader of a group is waited for at first. Operators
+// siteLeaderTimeout is the initial timeout for a call to a group's leader. Operators
 // and callers wait about a second for a control VM or gate, which must have found
-// another leader by then; a call takes some 20 ms when all is well.
-const sitePatience = 400 * time.Millisecond
+// another leader by then; a call normally takes about 20 ms.
+const siteLeaderTimeout = 400 * time.Millisecond
 
 // classStore is the class of the members on store VMs.
 const classStore = "store"
 
-func classOf(s *settings.Settings) string {
+func memberClass(s *settings.Settings) string {
 	if s.Is(settings.RoleControl) {
 		return control.ClassControl
 	}
 	return classStore
 }
 
-// preferredClass keeps the configuration on control VMs and the jobs on store
-// VMs, which have more of processor and disk, as far as there are enough.
+// preferredClass returns the class of VM on which a group's voters should run: the
+// configuration on control VMs, and the jobs on store VMs, which have more CPU and
+// disk. If too few VMs of the class are available, others are used.
 func preferredClass(group uint32) string {
 	if group == keeperapi.ConfigGroup {
 		return control.ClassControl
@@ -56,30 +58,30 @@
 
 func newSiteControl(site *Site) (*siteControl, error) {
 	s := &site.settings
-	made, err := openKeeper(s, site.log.Logger, site.metrics, func(config *replica.Config) {
+	opened, err := openKeeper(s, site.log.Logger, site.metrics, func(config *replica.Config) {
 		config.Address = s.Listen.Peers
 		config.Seeds = s.SeedPeers()
 		config.Found = s.Control.Found
-		config.TargetVoters = votersFor(s.Control.Tolerance)
+		config.TargetVoters = targetVoters(s.Control.Tolerance)
 		config.LeastVoters = 2*s.Control.Tolerance + 1
-		config.Class = classOf(s)
+		config.Class = memberClass(s)
 		config.Preferred = preferredClass
 	})
 	if err != nil {
 		return nil, &DiskError{Folder: s.VM.DataFolder, Cause: err}
 	}
-	c := &siteControl{keeper: made}
+	c := &siteControl{keeper: opened}
 	if !s.Is(settings.RoleControl) {
 		return c, nil
 	}
 	keepers := keeperclient.NewDynamic(site.calls, func() []string { return c.addresses(s.SeedPeers()) })
 	keepers.CountRetries(site.metrics)
-	keepers.SetPatience(sitePatience)
-	keepers.SetHint(made.leaderAddress)
+	keepers.SetPatience(siteLeaderTimeout)
+	keepers.SetHint(opened.leaderAddress)
 	c.service = control.New(control.Options{
 		VM: s.VM.Name, Place: s.VM.Place, Region: s.VM.Region,
 		Address: s.Listen.Peers, Control: s.Listen.Control, Folder: s.VM.DataFolder, Seeds: s.SeedPeers(),
-		Group: made.host, Tolerance: s.Control.Tolerance, Config: made.config, Keepers: keepers,
+		Group: opened.host, Tolerance: s.Control.Tolerance, Config: opened.config, Keepers: keepers,
 		Calls: site.calls, Log: site.log.Logger, Metrics: site.metrics,
 		Roster: roster.Config{
 			ReplicaLifetime: s.Upstream.ExpireAfter,
@@ -91,7 +93,8 @@
 	return c, nil
 }
 
-// addresses gives where to ask for the leader of a group.
+// addresses returns the VMs to ask for the leader of a group: the known members,
+// then the seeds.
 func (c *siteControl) addresses(seeds []string) []string {
 	var addresses []string
 	for _, m := range c.keeper.host.Known() {
--- a/internal/daemon/sitegate.go
+++ b/internal/daemon/sitegate.go
@@ -49,34 +49,39 @@
 }
 
 const (
-	// keptAnswers is how many lifetimes some callers keep a directory's answer.
-	keptAnswers = 3
-	// drainReserve is left of the drain's time for the end of the process.
+	// answerLifetimesKept is for how many lifetimes some callers keep using a directory
+	// answer.
+	answerLifetimesKept = 3
+	// drainReserve is the part of the drain timeout that is kept for ending the
+	// process.
 	drainReserve = 500 * time.Millisecond
-	// listenersTimeout is the part of it for the end of the listeners.
+	// listenersTimeout is the part of drainReserve for shutting down the listeners.
 	listenersTimeout = 200 * time.Millisecond
-	// unlistedForever is the lifetime of replicas in a gate's own table: they go
-	// only when the control VMs say so, or one by one when they do not answer.
-	unlistedForever = 365 * 24 * time.Hour
-	// siteHeartbeatsPerLease is how often a session is renewed in its lifetime of 3 s.
-	// Two may be lost. A heartbeat also brings the news that a job was ended.
+	// noExpiry is the lifetime of replicas in a gate's own table, in effect
+	// unlimited: a replica is removed only by the control VMs or when it does not
+	// answer.
+	noExpiry = 365 * 24 * time.Hour
+	// siteHeartbeatsPerLease is how often a session is renewed within its lease of
+	// 3 s; two heartbeats may be lost. The reply to a heartbeat also lists ended jobs.
 	siteHeartbeatsPerLease = 4
-	// streamStall is the shortest pause of a stream that counts as a stalled
-	// connection: longer than nearly all streams in good order pause, and well below
-	// the time that TCP takes to send a lost packet again.
-	streamStall = 70 * time.Millisecond
-	// placeWait is how long a request waits at most for the word on its slot: a few
-	// round trips between places, and a small part of the latency that callers ask for.
-	placeWait = 40 * time.Millisecond
-	// jobCallTimeout bounds calls about jobs beside their own wait.
+	// minStreamStall is the shortest gap in a stream that counts as a stalled
+	// connection: longer than nearly all gaps of healthy streams, and well below the
+	// TCP retransmission timeout.
+	minStreamStall = 70 * time.Millisecond
+	// reservationWait limits how long a request waits for the owner gate to confirm its
+	// reservation: a few round trips between places, and a small part of the latency
+	// that callers ask for.
+	reservationWait = 40 * time.Millisecond
+	// jobCallTimeout limits a call about jobs, in addition to the time it asks to
+	// wait.
 	jobCallTimeout = 1500 * time.Millisecond
 )
 
 func newSiteGate(site *Site) (*siteGate, error) {
 	s := &site.settings
 	g := &siteGate{log: site.log.Logger, settings: s}
-	g.draining = &drain{decide: directory.NewDrain(directory.DrainConfig{
-		Lifetime: keptAnswers * s.Directory.AnswerLifetime,
+	g.draining = &drain{policy: directory.NewDrain(directory.DrainConfig{
+		Lifetime: answerLifetimesKept * s.Directory.AnswerLifetime,
 		Longest:  s.Timeouts.Drain - drainReserve,
 	})}
 	started := time.Now().UnixMilli()
@@ -94,13 +99,13 @@
 	g.router = proxy.New(proxy.Options{
 		Self: s.VM.Name, Place: s.VM.Place, Seed: maphash.String(maphash.MakeSeed(), s.VM.Name),
 		Route: route.Config{
-			EntryLifetime: unlistedForever,
+			EntryLifetime: noExpiry,
 			MaxQueue:      s.Limits.MaxQueue,
 			TokenTimeout:  s.Timeouts.StreamIdle,
-			StallMin:      streamStall,
-			PlaceWait:     placeWait,
-			HedgeMin:      -1,              // a second run costs more than it saves
-			ProbeAfter:    unlistedForever, // a replica is asked when all that this gate has there is quiet
+			StallMin:      minStreamStall,
+			PlaceWait:     reservationWait,
+			HedgeMin:      -1,       // no hedging: a second run costs more than it saves
+			ProbeAfter:    noExpiry, // a replica is probed only when all requests of this gate there are idle
 		},
 		Metrics:          site.metrics,
 		Log:              site.log.Logger,
@@ -114,15 +119,15 @@
 	g.exchange.Attach(g.router)
 	keepers := keeperclient.NewDynamic(site.calls, g.follower.Keepers)
 	keepers.CountRetries(site.metrics)
-	keepers.SetPatience(sitePatience)
-	held, err := credit.New(credit.Options{
+	keepers.SetPatience(siteLeaderTimeout)
+	teamCredit, err := credit.New(credit.Options{
 		VM: s.VM.Name, Listen: s.Listen.Peers, Fleet: g.follower, Metrics: site.metrics, Log: site.log.Logger,
 		Tolerance: limit.Tolerance{Window: s.Limits.TeamWindow, Overshoot: s.Limits.TeamOvershoot, Slack: s.Limits.TeamSlack},
 	})
 	if err != nil {
 		return nil, err
 	}
-	g.credit = held
+	g.credit = teamCredit
 	g.routed = gate.NewRouteHandler(g.follower, g.router, g.credit, site.metrics, site.log.Logger)
 	g.jobs = gate.NewJobs(gate.JobsOptions{
 		Keepers: keepers, Source: g.follower, Router: g.router, Metrics: site.metrics, Log: site.log.Logger,
@@ -159,15 +164,15 @@
 	g.batch.Go(func() { g.runner.Run(batchContext) })
 }
 
-// ready says whether callers may be sent here.
-func (g *siteGate) ready() bool { return g.isReady.Load() && !g.draining.begun() }
+// ready reports whether callers may be sent to this gate.
+func (g *siteGate) ready() bool { return g.isReady.Load() && !g.draining.hasBegun() }
 
-// awaitReady lets the gate be named to callers once it has routes, and knows a
-// replica or has waited for one.
+// awaitReady marks the gate as ready for the directory once it has routes and
+// either knows a replica or has waited upstreamSettleTime for one.
 func (g *siteGate) awaitReady(ctx context.Context) {
 	ticker := time.NewTicker(readyPoll)
 	defer ticker.Stop()
-	var routed time.Time
+	var routesAt time.Time
 	for {
 		select {
 		case <-ctx.Done():
@@ -176,8 +181,8 @@
 			if g.follower.Routes().Version() == 0 {
 				continue
 			}
-			routed = orNow(routed, now)
-			if len(g.router.Upstreams()) > 0 || now.Sub(routed) >= readySettle {
+			routesAt = timeOr(routesAt, now)
+			if len(g.router.Upstreams()) > 0 || now.Sub(routesAt) >= upstreamSettleTime {
 				g.isReady.Store(true)
 				g.follower.SetReady()
 				g.log.Info("ready", zap.Uint64("routes", g.follower.Routes().Version()))
@@ -187,30 +192,30 @@
 	}
 }
 
-// handler serves callers and counts them for the drain.
+// handler returns the handler for callers, which counts their requests for the
+// drain.
 func (g *siteGate) handler(edge Edge) http.Handler {
 	next := edge.Callers(g.routed, g.jobs)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if g.draining.begun() {
+		if g.draining.hasBegun() {
 			w.Header().Set("Connection", "close")
 		}
-		if !g.draining.enter() {
-			edge.Refuse(w, apierr.New(apierr.Unavailable, reasonDraining, "ask for gates to use",
+		if !g.draining.beginRequest() {
+			edge.Refuse(w, apierr.New(apierr.Unavailable, reasonDraining, "get other gates from the directory and retry there",
 				"this gate is shutting down").WithRetryAfter(time.Millisecond))
 			return
 		}
-		defer g.draining.leave()
+		defer g.draining.endRequest()
 		next.ServeHTTP(w, r)
 	})
 }
 
-// drain takes the gate out of the directory and serves on until no caller may
-// hold its address any more and the last request has been answered. Items of jobs
-// are given back at once with what there is of their answers, so that other gates
-// go on with them.
+// drain removes the gate from the directory and keeps serving until no caller can
+// still hold its address and the last request has been answered. Items of jobs are
+// returned at once with their partial answers, so that other gates resume them.
 func (g *siteGate) drain(ctx context.Context) {
 	g.log.Info("draining", zap.Int("in_progress", g.router.InFlight()))
-	began := time.Now()
+	started := time.Now()
 	g.draining.begin()
 	g.follower.SetDraining()
 	g.stopBatch()
@@ -225,17 +230,19 @@
 	for !g.drained(reported) {
 		select {
 		case <-ctx.Done():
-			g.log.Warn("the drain ends unfinished", zap.Duration("took", time.Since(began)), zap.Int("in_progress", g.router.InFlight()))
+			g.log.Warn("drain timed out", zap.Duration("took", time.Since(started)), zap.Int("in_progress", g.router.InFlight()))
 			return
 		case <-ticker.C:
 		}
 	}
-	g.log.Info("drained", zap.Duration("took", time.Since(began)), zap.Int("in_progress", g.router.InFlight()))
+	g.log.Info("drained", zap.Duration("took", time.Since(started)), zap.Int("in_progress", g.router.InFlight()))
 	g.stopOthers()
 	g.others.Wait()
 	g.router.Close()
 }
 
+// drained reports whether no caller needs this gate any more and all batch results
+// have been reported.
 func (g *siteGate) drained(reported <-chan struct{}) bool {
 	if g.draining.phase() != directory.Stopped {
 		return false
--- a/internal/daemon/sitereload.go
+++ b/internal/daemon/sitereload.go
@@ -6,8 +6,8 @@
 	"slateway.example/slateway/internal/settings"
 )
 
-// Reload takes up changed settings as far as that needs no restart, and logs
-// each change with whether it counts now. Requests in progress go on.
+// Reload applies the changed settings that do not need a restart, and logs each
+// change with whether it is in force now. Requests in progress are not affected.
 func (s *Site) Reload(fresh settings.Settings) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -16,14 +16,14 @@
 		log := s.log.Info
 		outcome := "in force"
 		if !change.Live {
-			log, outcome = s.log.Warn, "waits for the next start of the process"
+			log, outcome = s.log.Warn, "takes effect at the next start of the process"
 		}
 		log("setting changed", zap.String("key", change.Key), zap.String("before", change.Old),
 			zap.String("after", change.New), zap.String("outcome", outcome))
 	}
 	s.log.Info("settings reloaded", zap.Int("changes", len(changes)))
 	if err := s.log.SetLevel(fresh.Log.Level); err != nil {
-		s.log.Warn("log level not changed", zap.Error(err))
+		s.log.Warn("the log level could not be changed", zap.Error(err))
 	}
 	seeds := fresh.SeedPeers()
 	if s.control != nil {
@@ -38,9 +38,9 @@
 	s.reloaded = fresh
 }
 
-// RefuseReload logs why changed settings are not taken up; the daemon goes on by
-// those that it has.
+// RefuseReload logs and counts changed settings that are invalid. The daemon keeps
+// the settings it has.
 func (s *Site) RefuseReload(err error) {
 	s.metrics.Count("settings.refused")
-	s.log.Error("changed settings not taken up", zap.Error(err))
+	s.log.Error("changed settings rejected, the previous ones stay in force", zap.Error(err))
 }
--- a/internal/daemon/standstill.go
+++ b/internal/daemon/standstill.go
@@ -8,36 +8,37 @@
 )
 
 const (
-	// pulseInterval is how often the process looks whether it has stood still.
-	pulseInterval = 500 * time.Millisecond
-	// standstillFrom is the pause that is logged: far longer than a busy process is
-	// late.
-	standstillFrom = time.Second
+	// pauseCheckInterval is how often the process checks whether it was paused.
+	pauseCheckInterval = 500 * time.Millisecond
+	// minLoggedPause is the shortest pause that is logged: far longer than the
+	// scheduling delays of a busy process.
+	minLoggedPause = time.Second
 )
 
-// standstill is how long a process did nothing, by both clocks. A suspended VM
-// shows in the time of day only, and a time of day that was set shows there alone.
-type standstill struct {
-	steady, wall time.Duration
+// processPause is how long a process did not run, by the monotonic and by the wall
+// clock. The suspension of a VM and a change of the system time show in the wall
+// clock only.
+type processPause struct {
+	monotonic, wall time.Duration
 }
 
-// standstillBetween compares two times at which the process was to wake an interval
-// apart.
-func standstillBetween(last, now time.Time, interval time.Duration) (standstill, bool) {
-	s := standstill{
-		steady: now.Sub(last) - interval,
-		wall:   now.Round(0).Sub(last.Round(0)) - interval, // without the steady clock's reading
+// detectPause compares two consecutive wake-ups that were due interval apart.
+// It returns by how much the second was overdue on each clock, and whether that is
+// long enough to log.
+func detectPause(last, now time.Time, interval time.Duration) (processPause, bool) {
+	s := processPause{
+		monotonic: now.Sub(last) - interval,
+		wall:      now.Round(0).Sub(last.Round(0)) - interval, // Round strips the monotonic reading
 	}
-	return s, s.steady >= standstillFrom || s.wall.Abs() >= standstillFrom
+	return s, s.monotonic >= minLoggedPause || s.wall.Abs() >= minLoggedPause
 }
 
-// watchStandstill logs when the process has stood still.
-//
-// Failure guarded against: a VM freezes and wakes. What it did for its callers ends
-// late and for reasons that make no sense (a stream silent for longer than its
-// limit), and nothing but a gap in its log tells why.
-func watchStandstill(ctx context.Context, log *zap.Logger) {
-	ticker := time.NewTicker(pulseInterval)
+// watchForPauses logs pauses of the process until ctx ends. After a VM was frozen,
+// its requests end overdue and with misleading reasons, such as a stream idle for
+// longer than its limit; this log line is the only explanation apart from a gap in
+// the log.
+func watchForPauses(ctx context.Context, log *zap.Logger) {
+	ticker := time.NewTicker(pauseCheckInterval)
 	defer ticker.Stop()
 	for last := time.Now(); ; {
 		select {
@@ -46,8 +47,8 @@
 		case <-ticker.C:
 		}
 		now := time.Now()
-		if s, long := standstillBetween(last, now, pulseInterval); long {
-			log.Warn("this process stood still, or its clock was set", zap.Duration("steady_clock", s.steady), zap.Duration("time_of_day", s.wall))
+		if s, long := detectPause(last, now, pauseCheckInterval); long {
+			log.Warn("the process was paused, or the system time was changed", zap.Duration("steady_clock", s.monotonic), zap.Duration("time_of_day", s.wall))
 		}
 		last = now
 	}
--- a/internal/daemon/standstill_test.go
+++ b/internal/daemon/standstill_test.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// A VM was frozen for six seconds. Its log must say so when it wakes: on call, the
-// answers that ended then are otherwise laid at the replicas' door.
+// A VM that was frozen for six seconds must log that it was paused. Otherwise the
+// answers that failed then are blamed on the replicas.
 func TestStandstillIsSeenByEitherClock(t *testing.T) {
 	last := time.Now()
 	for _, c := range []struct {
-		name   string
-		now    time.Time
-		steady time.Duration
-		wall   time.Duration
-		long   bool
+		name      string
+		now       time.Time
+		monotonic time.Duration
+		wall      time.Duration
+		long      bool
 	}{
-		{"in time", last.Add(pulseInterval), 0, 0, false},
-		{"a little late", last.Add(pulseInterval + 200*time.Millisecond), 200 * time.Millisecond, 200 * time.Millisecond, false},
-		{"frozen", last.Add(pulseInterval + 6*time.Second), 6 * time.Second, 6 * time.Second, true},
+		{"in time", last.Add(pauseCheckInterval), 0, 0, false},
+		{"a little late", last.Add(pauseCheckInterval + 200*time.Millisecond), 200 * time.Millisecond, 200 * time.Millisecond, false},
+		{"frozen", last.Add(pauseCheckInterval + 6*time.Second), 6 * time.Second, 6 * time.Second, true},
 	} {
-		s, long := standstillBetween(last, c.now, pulseInterval)
-		if long != c.long || s.steady != c.steady || s.wall != c.wall {
+		s, long := detectPause(last, c.now, pauseCheckInterval)
+		if long != c.long || s.monotonic != c.monotonic || s.wall != c.wall {
 			t.Errorf("%s: %+v, %v", c.name, s, long)
 		}
 	}
-	// Without the steady clock's reading, as after a suspension or a clock that was
-	// set back, the time of day alone tells.
-	if s, long := standstillBetween(last.Round(0), last.Round(0).Add(-time.Minute), pulseInterval); !long || s.wall > 0 {
+	// Without a monotonic reading, as after a suspension or when the system time was
+	// set back, only the wall clock shows the pause.
+	if s, long := detectPause(last.Round(0), last.Round(0).Add(-time.Minute), pauseCheckInterval); !long || s.wall > 0 {
 		t.Errorf("a clock that was set back: %+v, %v", s, long)
 	}
 }
