--- a/internal/settings/changes.go
+++ b/internal/settings/changes.go
@@ -6,23 +6,23 @@
 	"slices"
 )
 
-// Change is one key whose value differs between two settings.
+// Change describes one key whose value differs between two settings.
 type Change struct {
 	Key      string // dotted path
 	Old, New string
-	// Live says whether the daemon takes the change up while it runs; any other
-	// one waits for its next start.
+	// Live reports whether a running daemon applies the change. All other changes
+	// take effect at its next start.
 	Live bool
 }
 
-// liveKeys are taken up without a restart.
+// liveKeys lists the keys that a running daemon applies.
 var liveKeys = []string{"log.level", "control.seeds"}
 
-// startKeys count only at the start of a process, so that a change needs neither
-// a reload nor a restart.
-var startKeys = []string{"control.found"}
+// startOnlyKeys lists the keys that are read at the start of a process only. Changes to
+// them are not reported, because they need neither a reload nor a restart.
+var startOnlyKeys = []string{"control.found"}
 
-// Changes lists the keys that differ, in the order of the file's sections.
+// Changes returns the keys that differ, in the order of the file's sections.
 func Changes(before, after *Settings) []Change {
 	return changes("", reflect.ValueOf(*before), reflect.ValueOf(*after))
 }
@@ -36,7 +36,7 @@
 			list = append(list, changes(key+".", old, fresh)...)
 			continue
 		}
-		if reflect.DeepEqual(old.Interface(), fresh.Interface()) || slices.Contains(startKeys, key) {
+		if reflect.DeepEqual(old.Interface(), fresh.Interface()) || slices.Contains(startOnlyKeys, key) {
 			continue
 		}
 		list = append(list, Change{
--- a/internal/settings/changes_test.go
+++ b/internal/settings/changes_test.go
@@ -9,9 +9,8 @@
 	"slateway.example/slateway/internal/settings"
 )
 
-// An operator changes a file and reloads. Each key that differs is named, with
-// whether it counts at once, and a key that only matters at the first start is
-// passed over.
+// A reload reports each key that differs and whether its change is applied at once.
+// A key that only matters at the first start is not reported.
 func TestChangesNameEachKeyAndWhetherItIsLive(t *testing.T) {
 	g := NewWithT(t)
 	before, err := settings.Parse(controlVM)
@@ -57,10 +56,10 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(parsed.SeedPeers()).To(Equal([]string{"10.0.0.1:7660", "10.0.0.2:7660"}))
 	for old, problem := range map[string]string{
-		`control = "10.0.0.1:8146"`:                  `listen.control: not an IP address and port`,
-		`metrics = "10.0.0.1:9464"`:                  `listen.metrics: not an IP address and port`,
-		`data_folder = "/var/lib/slateway"`:          `vm.data_folder: missing, and a control or store VM keeps its state there`,
-		`seeds = ["10.0.0.1:8146", "10.0.0.2:8146"]`: `control.seeds = []: missing, and a control VM finds the others by them`,
+		`control = "10.0.0.1:8146"`:                  `listen.control: not an IP address with a port`,
+		`metrics = "10.0.0.1:9464"`:                  `listen.metrics: not an IP address with a port`,
+		`data_folder = "/var/lib/slateway"`:          `vm.data_folder: missing, but a control or store VM stores its state there`,
+		`seeds = ["10.0.0.1:8146", "10.0.0.2:8146"]`: `control.seeds = []: missing, but a control VM needs them to find the others`,
 	} {
 		_, err := settings.Parse(strings.Replace(controlVM, old, "", 1))
 		g.Expect(err).To(MatchError(ContainSubstring(problem)), old)
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -12,14 +12,14 @@
 	"slateway.example/slateway/internal/directory"
 )
 
-// MaxConfigLease is the longest configuration lease. A change is in force once
-// every gate has confirmed it or has lost its lease, so a longer lease would
-// break the promise that a change is in force everywhere within 9 s.
+// MaxConfigLease is the longest configuration lease allowed. A change is in force
+// once every gate has confirmed it or its lease has expired, so a longer lease would
+// break the guarantee that a change is in force everywhere within 9 s.
 const MaxConfigLease = 8 * time.Second
 
-// nameForm is what names of VMs, places and regions look like; they appear in
-// log fields, metrics and file names.
-var nameForm = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
+// namePattern matches valid names of VMs, places and regions, which appear in log
+// fields, metrics and file names.
+var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
 
 var (
 	logLevels  = []string{"debug", "info", "warn", "error"}
@@ -43,7 +43,7 @@
 		s.checkKeepers(c)
 	}
 	s.checkNumbers(c)
-	s.checkOrder(c)
+	s.checkConsistency(c)
 	c.oneOf("config.when_alone", string(s.Config.WhenAlone), []string{string(Refuse), string(ServeStale)})
 	c.oneOf("log.level", s.Log.Level, logLevels)
 	c.oneOf("log.format", s.Log.Format, logFormats)
@@ -60,20 +60,20 @@
 	for _, role := range s.VM.Roles {
 		c.oneOf("vm.roles", string(role), []string{string(RoleGate), string(RoleKeeper), string(RoleControl), string(RoleStore)})
 		if (role == RoleControl || role == RoleStore) && !s.HasControl() {
-			c.add("control.seeds", "[]", "missing, and a control VM finds the others by them", "list up to three addresses of control VMs")
+			c.add("control.seeds", "[]", "missing, but a control VM needs them to find the others", "list the addresses of up to three control VMs")
 		}
 	}
 	switch {
 	case s.VM.DataFolder == "" && (s.Is(RoleControl) || s.Is(RoleStore)):
-		c.add("vm.data_folder", "", "missing, and a control or store VM keeps its state there", "name a folder on a disk that lasts")
+		c.add("vm.data_folder", "", "missing, but a control or store VM stores its state there", "set it to a folder on a persistent disk")
 	case s.VM.DataFolder == "" && s.Is(RoleKeeper):
-		c.add("vm.data_folder", "", "missing, and a keeper keeps its state there", "name a folder on a disk that lasts")
+		c.add("vm.data_folder", "", "missing, but a keeper stores its state there", "set it to a folder on a persistent disk")
 	case s.VM.DataFolder != "" && !filepath.IsAbs(s.VM.DataFolder):
 		c.add("vm.data_folder", quote(s.VM.DataFolder), "a relative path", "write the absolute path")
 	}
 }
 
-// checkControl checks a VM of a site of control VMs.
+// checkControl checks the settings of a VM at a site with control VMs.
 func (s *Settings) checkControl(c *checker) {
 	needed := []addressKey{{"listen.peers", s.Listen.Peers}, {"listen.metrics", s.Listen.Metrics}}
 	if s.Is(RoleGate) {
@@ -91,7 +91,7 @@
 			listening = append(listening, listener{entry.key, address})
 		}
 	}
-	c.clashes(listening)
+	c.checkPortConflicts(listening)
 	for i, seed := range s.Control.Seeds {
 		c.address(addressKey{fmt.Sprintf("control.seeds[%d]", i), seed})
 	}
@@ -99,7 +99,7 @@
 		c.add("vm.roles", quote(string(RoleKeeper)), "the site has control VMs, which hold the replicated state", "write \"control\"")
 	}
 	if s.Control.Tolerance < 0 {
-		c.add("control.tolerance", fmt.Sprint(s.Control.Tolerance), "negative", "set it to the control VMs that may be lost at once")
+		c.add("control.tolerance", fmt.Sprint(s.Control.Tolerance), "negative", "set it to the number of control VMs that may be lost at once")
 	}
 }
 
@@ -114,13 +114,13 @@
 			listening = append(listening, listener{entry.key, address})
 		}
 	}
-	c.clashes(listening)
+	c.checkPortConflicts(listening)
 	s.checkAdvertised(c, "callers", s.Advertise.Callers, s.Listen.Callers)
 	s.checkAdvertised(c, "operators", s.Advertise.Operators, s.Listen.Operators)
 	s.checkAdvertised(c, "peers", s.Advertise.Peers, s.Listen.Peers)
 }
 
-// checkAdvertised refuses addresses that others cannot connect to.
+// checkAdvertised reports an advertised address that other VMs cannot connect to.
 func (s *Settings) checkAdvertised(c *checker, name, advertised, listening string) {
 	key := "advertise." + name
 	if advertised != listening {
@@ -130,7 +130,7 @@
 	}
 	address, err := netip.ParseAddrPort(advertised)
 	if err == nil && address.Addr().IsUnspecified() {
-		c.add(key, quote(advertised), "others cannot connect to this address", "set "+key+" to the VM's own IP:port")
+		c.add(key, quote(advertised), "other VMs cannot connect to this address", "set "+key+" to the VM's own IP:port")
 	}
 }
 
@@ -141,12 +141,12 @@
 	address netip.AddrPort
 }
 
-func (c *checker) clashes(listening []listener) {
+func (c *checker) checkPortConflicts(listening []listener) {
 	for i, a := range listening {
 		for _, b := range listening[i+1:] {
 			sameIP := a.address.Addr() == b.address.Addr() || a.address.Addr().IsUnspecified() || b.address.Addr().IsUnspecified()
 			if sameIP && a.address.Port() == b.address.Port() {
-				c.add(b.key, quote(b.address.String()), "the port is taken by "+a.key, "give each its own port")
+				c.add(b.key, quote(b.address.String()), "the port is already used by "+a.key, "set a different port")
 			}
 		}
 	}
@@ -154,7 +154,7 @@
 
 func (s *Settings) checkKeepers(c *checker) {
 	if len(s.Keepers) == 0 {
-		c.add("keeper", "", "no [[keeper]] is listed", "list vm and peers of each keeper, 3 or 5 of them")
+		c.add("keeper", "", "no [[keeper]] is listed", "add a [[keeper]] entry with vm and peers for each of the 3 or 5 keepers")
 	}
 	names := map[string]bool{}
 	for i, keeper := range s.Keepers {
@@ -178,24 +178,24 @@
 
 func (s *Settings) checkOwnKeeper(c *checker, key string, keeper Keeper) {
 	if !s.Is(RoleKeeper) {
-		c.add(key+".vm", quote(keeper.VM), "is this VM, which has no role keeper", "add \"keeper\" to vm.roles or remove the entry")
+		c.add(key+".vm", quote(keeper.VM), "is this VM, which does not have the role keeper", "add \"keeper\" to vm.roles or remove the entry")
 	}
 	if keeper.Peers != s.Advertise.Peers {
 		c.add(key+".peers", quote(keeper.Peers), "this VM's peers address is "+quote(s.Advertise.Peers), "write the same address in both")
 	}
 }
 
-// checkOrder refuses pairs of values that cannot work together.
-func (s *Settings) checkOrder(c *checker) {
+// checkConsistency reports pairs of values that cannot work together.
+func (s *Settings) checkConsistency(c *checker) {
 	const raise = "raise the second or lower the first"
-	c.less("member.heartbeat", s.Member.Heartbeat, "member.suspect_after", s.Member.SuspectAfter, 2, raise)
-	c.less("quorum.heartbeat", s.Quorum.Heartbeat, "quorum.election", s.Quorum.Election, 3, raise)
-	least := s.Directory.AnswerLifetime + directory.DefaultSpread
+	c.atMostFraction("member.heartbeat", s.Member.Heartbeat, "member.suspect_after", s.Member.SuspectAfter, 2, raise)
+	c.atMostFraction("quorum.heartbeat", s.Quorum.Heartbeat, "quorum.election", s.Quorum.Election, 3, raise)
+	minDrain := s.Directory.AnswerLifetime + directory.DefaultSpread
 	if s.HasControl() {
-		least = s.Directory.AnswerLifetime
+		minDrain = s.Directory.AnswerLifetime
 	}
-	if s.Timeouts.Drain < least {
-		c.add("timeouts.drain", s.Timeouts.Drain.String(), "a gate would stop while callers may still hold its address", "set it to at least "+least.String())
+	if s.Timeouts.Drain < minDrain {
+		c.add("timeouts.drain", s.Timeouts.Drain.String(), "a gate would stop while callers may still use its address", "set it to at least "+minDrain.String())
 	}
 	if s.Config.Lease > MaxConfigLease {
 		c.add("config.lease", s.Config.Lease.String(), "a change could not be in force everywhere within 9 s", "set it to at most "+MaxConfigLease.String())
@@ -205,12 +205,12 @@
 	}
 }
 
-// less refuses a first value that, times factor, exceeds the second.
-func (c *checker) less(firstKey string, first time.Duration, secondKey string, second time.Duration, factor int, remedy string) {
+// atMostFraction reports the first value if factor times it exceeds the second.
+func (c *checker) atMostFraction(firstKey string, first time.Duration, secondKey string, second time.Duration, factor int, remedy string) {
 	if first*time.Duration(factor) <= second {
 		return
 	}
-	cause := fmt.Sprintf("must be at most a %d. part of %s = %s", factor, secondKey, second)
+	cause := fmt.Sprintf("must be at most 1/%d of %s = %s", factor, secondKey, second)
 	if factor == 1 {
 		cause = fmt.Sprintf("must not exceed %s = %s", secondKey, second)
 	}
@@ -218,22 +218,23 @@
 }
 
 func (c *checker) name(key, value string) {
-	if !nameForm.MatchString(value) {
-		c.add(key, quoteOrEmpty(value), "not a name", "write 1 to 63 lower-case letters, digits, dots and hyphens")
+	if !namePattern.MatchString(value) {
+		c.add(key, quoteOrEmpty(value), "not a valid name", "use 1 to 63 lower-case letters, digits, dots and hyphens")
 	}
 }
 
 func (c *checker) oneOf(key, value string, allowed []string) {
 	if !slices.Contains(allowed, value) {
-		c.add(key, quote(value), "not known here", "write one of "+strings.Join(allowed, ", "))
+		c.add(key, quote(value), "unknown value", "use one of "+strings.Join(allowed, ", "))
 	}
 }
 
-// address checks an IP:port; port 0 would leave others without an address.
+// address parses and checks an IP:port. Port 0 is reported, because other VMs could
+// not know the port that the system chooses.
 func (c *checker) address(entry addressKey) (netip.AddrPort, bool) {
 	address, err := netip.ParseAddrPort(entry.value)
 	if err != nil || address.Port() == 0 {
-		c.add(entry.key, quoteOrEmpty(entry.value), "not an IP address and port", "write IP:port, such as \"10.0.0.1:8080\"")
+		c.add(entry.key, quoteOrEmpty(entry.value), "not an IP address with a port", "write IP:port, such as \"10.0.0.1:8080\"")
 		return netip.AddrPort{}, false
 	}
 	return address, true
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -11,15 +11,15 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Problem is one fault of a settings file.
+// Problem describes one error in a settings file.
 type Problem struct {
 	Key    string // dotted path, such as listen.peers
-	Value  string // as written; empty if the key is missing
+	Value  string // as written in the file; empty if the key is missing
 	Cause  string
 	Remedy string
 }
 
-// String gives the problem in one line.
+// String formats the problem in one line.
 func (p Problem) String() string {
 	if p.Value == "" {
 		return fmt.Sprintf("%s: %s; %s", p.Key, p.Cause, p.Remedy)
@@ -27,10 +27,10 @@
 	return fmt.Sprintf("%s = %s: %s; %s", p.Key, p.Value, p.Cause, p.Remedy)
 }
 
-// Problems is the error of a file that cannot be used.
+// Problems is the error returned for a settings file that cannot be used.
 type Problems []Problem
 
-// Error gives one line for each problem.
+// Error formats the problems, one per line.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, problem := range p {
@@ -45,7 +45,7 @@
 	text, err := os.ReadFile(path)
 	if err != nil {
 		cause := errors.Unwrap(err)
-		return Settings{}, Problems{{Key: "settings file", Value: quote(path), Cause: fmt.Sprint(cause), Remedy: "name a readable TOML file"}}
+		return Settings{}, Problems{{Key: "settings file", Value: quote(path), Cause: fmt.Sprint(cause), Remedy: "specify a readable TOML file"}}
 	}
 	parsed, err := Parse(string(text))
 	var problems Problems
@@ -66,8 +66,8 @@
 		return Settings{}, Problems{syntaxProblem(err)}
 	}
 	problems := unknownKeys(metadata)
-	problems = append(problems, missingUnits(metadata)...)
-	parsed.complete()
+	problems = append(problems, durationsWithoutUnit(metadata)...)
+	parsed.applyDerived()
 	problems = append(problems, parsed.check()...)
 	if len(problems) > 0 {
 		return parsed, problems
@@ -76,7 +76,7 @@
 }
 
 func syntaxProblem(err error) Problem {
-	remedy := "write a string in quotes, a number without, a duration as \"500ms\""
+	remedy := "write strings in quotes, numbers without, durations like \"500ms\""
 	var parse toml.ParseError
 	if !errors.As(err, &parse) {
 		return Problem{Key: "settings file", Cause: strings.TrimPrefix(oneLine(err.Error()), "toml: "), Remedy: remedy}
@@ -98,9 +98,9 @@
 	return problems
 }
 
-// missingUnits finds durations written as bare numbers, which the decoder
-// would take for nanoseconds: a heartbeat of 500 would be half a microsecond.
-func missingUnits(metadata toml.MetaData) Problems {
+// durationsWithoutUnit finds durations without a unit. The decoder would read them as
+// nanoseconds, so that a heartbeat of 500 would be half a microsecond.
+func durationsWithoutUnit(metadata toml.MetaData) Problems {
 	var problems Problems
 	for _, key := range durationKeys {
 		if metadata.Type(strings.Split(key, ".")...) == "Integer" {
@@ -110,10 +110,11 @@
 	return problems
 }
 
-// checkDataFolder verifies that the folder exists and takes a new file.
+// checkDataFolder checks that the data folder exists and is writable. A full disk
+// is not reported as a problem.
 func checkDataFolder(vm VM) Problems {
 	if !filepath.IsAbs(vm.DataFolder) {
-		return nil // reported by Parse where a folder is needed
+		return nil // Parse has reported it if a folder is needed
 	}
 	problem := Problem{Key: "vm.data_folder", Value: quote(vm.DataFolder)}
 	info, err := os.Stat(vm.DataFolder)
@@ -124,26 +125,28 @@
 		return Problems{problem}
 	case !info.IsDir():
 		problem.Cause = "is not a folder"
-		problem.Remedy = "name a folder"
+		problem.Remedy = "set it to the path of a folder"
 		return Problems{problem}
 	}
 	if err := CheckWritable(vm.DataFolder); err != nil && !errors.Is(err, syscall.ENOSPC) {
-		problem.Cause = "the folder takes no files (" + oneLine(err.Error()) + ")"
+		problem.Cause = "the folder is not writable (" + oneLine(err.Error()) + ")"
 		problem.Remedy = "make it writable for the daemon's user and check that its disk is mounted read-write"
 		return Problems{problem}
 	}
 	return nil
 }
 
-// CheckWritable writes, syncs and removes a small file in the folder.
+// CheckWritable writes, syncs and removes a small file in the folder, and returns
+// the first error.
 func CheckWritable(folder string) error {
 	probe, err := os.CreateTemp(folder, ".write-check-*")
 	if err != nil {
 		return err
 	}
-	_, err = probe.Write(make([]byte, probeBytes))
+	_, err = probe.Write(make([]byte, writeCheckBytes))
 	return errors.Join(err, probe.Sync(), probe.Close(), os.Remove(probe.Name()))
 }
 
-// probeBytes is what a check writes: a block of the usual file systems.
-const probeBytes = 4096
+// writeCheckBytes is the size of the file that CheckWritable writes: one block of common
+// file systems.
+const writeCheckBytes = 4096
--- a/internal/settings/numbers.go
+++ b/internal/settings/numbers.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// durationKeys are the keys whose values carry a unit.
+// durationKeys lists the keys whose values need a unit.
 var durationKeys = func() []string {
 	var keys []string
 	for _, entry := range (&Settings{}).durations() {
@@ -40,8 +40,9 @@
 	}
 }
 
-// shortestDuration is below any pace that a timer of the daemon can keep.
-const shortestDuration = time.Millisecond
+// minDuration is the smallest duration accepted; the daemon's timers are not
+// more precise.
+const minDuration = time.Millisecond
 
 type countEntry struct {
 	key   string
@@ -64,13 +65,13 @@
 	}
 }
 
-type partEntry struct {
+type fractionEntry struct {
 	key   string
 	value float64
 }
 
-func (s *Settings) parts() []partEntry {
-	return []partEntry{
+func (s *Settings) fractions() []fractionEntry {
+	return []fractionEntry{
 		{"limits.team_overshoot", s.Limits.TeamOvershoot},
 		{"limits.team_slack", s.Limits.TeamSlack},
 	}
@@ -78,11 +79,11 @@
 
 func (s *Settings) checkNumbers(c *checker) {
 	for _, entry := range s.durations() {
-		if entry.value < shortestDuration {
-			c.add(entry.key, entry.value.String(), "too short", "set it to at least "+shortestDuration.String())
+		if entry.value < minDuration {
+			c.add(entry.key, entry.value.String(), "too short", "set it to at least "+minDuration.String())
 		}
 	}
-	for _, entry := range s.parts() {
+	for _, entry := range s.fractions() {
 		if entry.value < 0 {
 			c.add(entry.key, fmt.Sprint(entry.value), "must not be negative", "set it to 0 or above")
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,8 +1,8 @@
-// Package settings reads the one TOML file of a daemon and checks it at start.
+// Package settings reads and checks the TOML settings file of a daemon.
 //
-// Parse and Load report every problem they find, each in one line that names
-// the key, its value and the remedy. A key that the daemon does not know is a
-// problem too: a misspelt key must not leave a default silently in force.
+// Parse and Load report every problem they find, each in one line with the key,
+// its value and the remedy. An unknown key is a problem too: otherwise a misspelt
+// key would silently leave the default in force.
 package settings
 
 import (
@@ -11,21 +11,21 @@
 	"time"
 )
 
-// Role is a job that a VM's daemon does.
+// Role is a function that the daemon of a VM performs.
 type Role string
 
 // Roles of a daemon.
 const (
-	RoleGate   Role = "gate"   // takes requests and announcements, routes, runs batch items
-	RoleKeeper Role = "keeper" // holds replicated state on its disk
-	// RoleControl: holds the replicated state of a site whose VMs find each other
-	// by seeds, and answers replicas, operators and callers who look for a gate.
+	RoleGate   Role = "gate"   // routes requests, receives announcements, runs batch items
+	RoleKeeper Role = "keeper" // stores replicated state on its disk
+	// RoleControl stores the replicated state of a site whose VMs find each other
+	// by seeds, and serves replicas, operators and callers that look for a gate.
 	RoleControl Role = "control"
-	// RoleStore: holds the jobs of such a site.
+	// RoleStore stores the jobs of such a site.
 	RoleStore Role = "store"
 )
 
-// Settings are the checked settings of one daemon.
+// Settings holds the checked settings of one daemon.
 type Settings struct {
 	VM        VM        `toml:"vm"`
 	Listen    Addresses `toml:"listen"`
@@ -49,104 +49,106 @@
 	Name       string `toml:"name"`        // unique in the fleet
 	Place      string `toml:"place"`       // data centre or zone
 	Region     string `toml:"region"`      // group of places
-	DataFolder string `toml:"data_folder"` // needed by keepers; an absolute path
+	DataFolder string `toml:"data_folder"` // absolute path; required for keepers, control and store VMs
 	Roles      []Role `toml:"roles"`       // default: gate
 }
 
-// Addresses are IP:port pairs, one for each kind of peer.
+// Addresses holds an IP:port for each kind of client.
 type Addresses struct {
 	Callers   string `toml:"callers"`   // callers and upstreams
 	Operators string `toml:"operators"` // operators, metrics
-	Peers     string `toml:"peers"`     // the project's own processes; TCP and UDP
-	Control   string `toml:"control"`   // of a control VM: replicas and operators
-	Directory string `toml:"directory"` // of a gate or control VM: callers who look for a gate
-	Readiness string `toml:"readiness"` // of a gate: whether it is ready
-	Metrics   string `toml:"metrics"`   // counters and histograms, at a site of control VMs
+	Peers     string `toml:"peers"`     // other slateway processes; TCP and UDP
+	Control   string `toml:"control"`   // on a control VM: replicas and operators
+	Directory string `toml:"directory"` // on a gate or control VM: callers that look for a gate
+	Readiness string `toml:"readiness"` // on a gate: readiness checks
+	Metrics   string `toml:"metrics"`   // counters and histograms, at a site with control VMs
 }
 
-// Control says how the VMs of a site find each other that is not told who they
-// are. With seeds, no keeper is listed: routes, replicas and gates are known by
-// way of the control VMs.
+// Control sets how the VMs of a site with control VMs find each other. With seeds,
+// no keepers are listed: VMs learn routes, replicas and gates from the control VMs.
 type Control struct {
-	Seeds []string `toml:"seeds"` // listen.control of a few control VMs; their peers listen at the port of listen.peers here
-	// Found: the whole site starts for the first time, and the seeds begin it.
+	// Seeds are the listen.control addresses of a few control VMs. Their listen.peers
+	// must have the same port as this VM's.
+	Seeds []string `toml:"seeds"`
+	// Found is set when the whole site starts for the first time. The seeds then
+	// create the replicated state.
 	Found     bool `toml:"found"`
 	Tolerance int  `toml:"tolerance"` // control VMs that may be lost at once
 }
 
-// Keeper is one of the keepers that the fleet starts with.
+// Keeper identifies one of the keepers that the fleet starts with.
 type Keeper struct {
 	VM    string `toml:"vm"`
 	Peers string `toml:"peers"` // advertised peers address
 }
 
-// Member sets how VMs find each other and notice losses.
+// Member sets how VMs find each other and detect failures.
 type Member struct {
-	Seeds        []string      `toml:"seeds"`         // peers addresses; default: the keepers' ones
-	Heartbeat    time.Duration `toml:"heartbeat"`     // one probe round of a VM
-	SuspectAfter time.Duration `toml:"suspect_after"` // silence until a VM is suspected
-	LostAfter    time.Duration `toml:"lost_after"`    // suspicion until a VM counts as lost
+	Seeds        []string      `toml:"seeds"`         // peers addresses; default: those of the keepers
+	Heartbeat    time.Duration `toml:"heartbeat"`     // interval between probe rounds
+	SuspectAfter time.Duration `toml:"suspect_after"` // time without contact until a VM is suspected
+	LostAfter    time.Duration `toml:"lost_after"`    // time under suspicion until a VM counts as lost
 }
 
-// Quorum sets the pace of the keepers' agreement.
+// Quorum sets the timing of the keepers' consensus protocol.
 type Quorum struct {
 	Heartbeat       time.Duration `toml:"heartbeat"`
-	Election        time.Duration `toml:"election"`         // leader silence until an election starts
-	JobGroups       int           `toml:"job_groups"`       // replicated groups that share the jobs
+	Election        time.Duration `toml:"election"`         // time without contact to the leader until an election starts
+	JobGroups       int           `toml:"job_groups"`       // number of replicated groups among which jobs are divided
 	SnapshotEntries int           `toml:"snapshot_entries"` // log entries between snapshots
-	// ReplaceAfter is how long a member must be unheard before a blank disk of
-	// its VM, or a spare keeper, takes its place; 0 leaves it to the operator.
+	// ReplaceAfter is how long a member must be unresponsive before it is replaced by
+	// a blank disk of its VM or by a standby keeper; 0 leaves it to the operator.
 	ReplaceAfter time.Duration `toml:"replace_after"`
 }
 
-// Config sets how long a gate may serve under the configuration it holds.
+// Config sets how long a gate may serve under the configuration that it holds.
 type Config struct {
-	Lease     time.Duration `toml:"lease"`      // serving time after the last confirmed contact with keepers
+	Lease     time.Duration `toml:"lease"`      // how long a gate may serve after its last confirmed contact with the keepers
 	WhenAlone WhenAlone     `toml:"when_alone"` // what a gate without a lease does
 }
 
-// WhenAlone is what a gate does when its configuration lease has run out.
+// WhenAlone is what a gate does once its configuration lease has expired.
 type WhenAlone string
 
 // Values of WhenAlone.
 const (
-	Refuse     WhenAlone = "refuse"      // answer that the request was not run
-	ServeStale WhenAlone = "serve_stale" // serve under the last revision, marked stale
+	Refuse     WhenAlone = "refuse"      // refuse requests, with the statement that they were not run
+	ServeStale WhenAlone = "serve_stale" // serve under the last revision, marked as stale
 )
 
-// Directory sets the answers that tell callers where to connect.
+// Directory sets the directory answers, which list the gates for callers.
 type Directory struct {
-	AnswerLifetime time.Duration `toml:"answer_lifetime"` // how long callers may keep an answer
-	MaxEntries     int           `toml:"max_entries"`     // gates named in one answer
+	AnswerLifetime time.Duration `toml:"answer_lifetime"` // how long callers may cache an answer
+	MaxEntries     int           `toml:"max_entries"`     // gates listed in one answer
 }
 
-// Upstream sets how announcements of upstreams age.
+// Upstream sets how announcements of upstreams expire.
 type Upstream struct {
-	ExpireAfter time.Duration `toml:"expire_after"` // silence until a replica is dropped
+	ExpireAfter time.Duration `toml:"expire_after"` // time without an announcement until a replica is removed
 }
 
 // Batch sets how gates lease and run batch items.
 type Batch struct {
-	Lease       time.Duration `toml:"lease"`        // a gate's session with a job group
-	LeaseItems  int           `toml:"lease_items"`  // items asked for at once
-	MaxAttempts int           `toml:"max_attempts"` // tries of an item before it ends with its reason
-	ResultFlush time.Duration `toml:"result_flush"` // longest wait of a result for its group
+	Lease       time.Duration `toml:"lease"`        // lifetime of a gate's session with a job group
+	LeaseItems  int           `toml:"lease_items"`  // items requested at once
+	MaxAttempts int           `toml:"max_attempts"` // attempts of an item before it fails
+	ResultFlush time.Duration `toml:"result_flush"` // longest time that a result waits for others of its group
 	ResultGroup int           `toml:"result_group"` // results committed together
-	Retention   time.Duration `toml:"retention"`    // results stay readable after a job's end
+	Retention   time.Duration `toml:"retention"`    // how long results stay readable after a job's end
 }
 
-// Orders set whether and how the engines of a place are told which models to
-// load, as the teams' templates ask.
+// Orders sets whether and how gates order the engines of a place to load models
+// as required by the teams' templates.
 type Orders struct {
-	Enabled             bool          `toml:"enabled"`                // off: engines are left as they are
-	Lease               time.Duration `toml:"lease"`                  // silence of the ordering gate until another takes over
-	LongestOrder        time.Duration `toml:"longest_order"`          // until an order has taken effect or never will
-	StoreBytesPerSecond int           `toml:"store_bytes_per_second"` // limit of the weight store for this place
+	Enabled             bool          `toml:"enabled"`                // if false, engines keep the models they have
+	Lease               time.Duration `toml:"lease"`                  // time without contact to the ordering gate until another takes over
+	LongestOrder        time.Duration `toml:"longest_order"`          // time after which an order that has not taken effect never will
+	StoreBytesPerSecond int           `toml:"store_bytes_per_second"` // bandwidth limit of the weight store for this place
 	WeightBytes         int           `toml:"weight_bytes"`           // size of a model's weights
-	MaxModels           int           `toml:"max_models"`             // that fit beside each other in an engine
+	MaxModels           int           `toml:"max_models"`             // models that an engine can hold at once
 }
 
-// Limits bound what one client or peer can make the daemon hold.
+// Limits sets how much one client or peer can make the daemon hold.
 type Limits struct {
 	MaxBodyBytes  int `toml:"max_body_bytes"`  // online request body
 	MaxPartBytes  int `toml:"max_part_bytes"`  // one part of a batch job
@@ -155,32 +157,33 @@
 	MaxInProgress int `toml:"max_in_progress"` // online requests running in a gate
 	Descriptors   int `toml:"descriptors"`     // open files and connections of the process; 0: the system's limit
 
-	// In any TeamWindow, all gates together run at most so many requests of a team
-	// beyond its rate and burst: the part TeamOvershoot of these, and TeamSlack.
+	// Within any TeamWindow, all gates together may exceed a team's rate and burst by
+	// the fraction TeamOvershoot of them plus TeamSlack requests.
 	TeamWindow    time.Duration `toml:"team_window"`
 	TeamOvershoot float64       `toml:"team_overshoot"`
 	TeamSlack     float64       `toml:"team_slack"`
 }
 
-// Timeouts bound waiting.
+// Timeouts sets the daemon's timeouts.
 type Timeouts struct {
 	Dial       time.Duration `toml:"dial"`        // opening a connection
-	Unanswered time.Duration `toml:"unanswered"`  // sent bytes without acknowledgement until a connection is given up; 0: the system's
-	Request    time.Duration `toml:"request"`     // deadline of a request that names none
-	StreamIdle time.Duration `toml:"stream_idle"` // silence of a stream until its connection is suspect
+	Unanswered time.Duration `toml:"unanswered"`  // unacknowledged TCP data until a connection is closed; 0: the system's timeout
+	Request    time.Duration `toml:"request"`     // deadline of a request that sets none
+	StreamIdle time.Duration `toml:"stream_idle"` // time without an event until a stream's connection is suspect
 	Drain      time.Duration `toml:"drain"`       // longest drain after SIGTERM
 }
 
-// Log sets the daemon's own log.
+// Log sets the daemon's log.
 type Log struct {
 	Level  string `toml:"level"`  // debug, info, warn or error
 	Format string `toml:"format"` // json or console
 }
 
-// HasControl says whether the site is one of control VMs and routes.
+// HasControl reports whether the site has control VMs.
 func (s *Settings) HasControl() bool { return len(s.Control.Seeds) > 0 }
 
-// SeedPeers gives the peers addresses of the seeds.
+// SeedPeers returns the peers addresses of the seeds, which are assumed to use the
+// port of this VM's listen.peers.
 func (s *Settings) SeedPeers() []string {
 	own, err := netip.ParseAddrPort(s.Listen.Peers)
 	if err != nil {
@@ -195,10 +198,10 @@
 	return peers
 }
 
-// Is reports whether the VM has the role.
+// HasRole reports whether the VM has the role.
 func (s *Settings) Is(role Role) bool { return slices.Contains(s.VM.Roles, role) }
 
-// defaults are the values of keys that the file does not name.
+// defaults returns the values of keys that are not in the file.
 func defaults() Settings {
 	return Settings{
 		VM:        VM{Roles: []Role{RoleGate}},
@@ -228,11 +231,11 @@
 	}
 }
 
-// complete fills the values that follow from others.
-func (s *Settings) complete() {
-	s.Advertise.Callers = orElse(s.Advertise.Callers, s.Listen.Callers)
-	s.Advertise.Operators = orElse(s.Advertise.Operators, s.Listen.Operators)
-	s.Advertise.Peers = orElse(s.Advertise.Peers, s.Listen.Peers)
+// applyDerived sets missing values that are derived from others.
+func (s *Settings) applyDerived() {
+	s.Advertise.Callers = valueOr(s.Advertise.Callers, s.Listen.Callers)
+	s.Advertise.Operators = valueOr(s.Advertise.Operators, s.Listen.Operators)
+	s.Advertise.Peers = valueOr(s.Advertise.Peers, s.Listen.Peers)
 	if len(s.Member.Seeds) > 0 {
 		return
 	}
@@ -241,7 +244,7 @@
 	}
 }
 
-func orElse(value, fallback string) string {
+func valueOr(value, fallback string) string {
 	if value == "" {
 		return fallback
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,8 +12,8 @@
 	"slateway.example/slateway/internal/settings"
 )
 
-// small is what a small site writes.
-const small = `
+// smallSite is the settings file of a smallSite site.
+const smallSite = `
 [vm]
 name = "vm1"
 place = "glas-a"
@@ -31,7 +31,7 @@
 
 func TestSmallFileIsCompletedWithDefaults(t *testing.T) {
 	g := NewWithT(t)
-	parsed, err := settings.Parse(small)
+	parsed, err := settings.Parse(smallSite)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(parsed.Is(settings.RoleKeeper)).To(BeTrue())
 	g.Expect(parsed.Advertise.Callers).To(Equal("10.0.0.1:8080"))
@@ -42,17 +42,17 @@
 func TestEachProblemNamesKeyValueAndRemedy(t *testing.T) {
 	cases := []struct{ name, old, replacement, problem string }{
 		{"unknown key", `[listen]`, "colour = \"red\"\n[listen]", `vm.colour: unknown key; remove it or correct its spelling`},
-		{"no port", `"10.0.0.1:8081"`, `"10.0.0.1"`, `listen.operators = "10.0.0.1": not an IP address and port; write IP:port, such as "10.0.0.1:8080"`},
-		{"host name", `"10.0.0.1:8081"`, `"vm1:8081"`, `listen.operators = "vm1:8081": not an IP address and port; write IP:port, such as "10.0.0.1:8080"`},
-		{"clash", `"10.0.0.1:8081"`, `"0.0.0.0:8080"`, `is taken by`},
-		{"unspecified advertised", `"10.0.0.1:8080"`, `"0.0.0.0:8080"`, `advertise.callers = "0.0.0.0:8080": others cannot connect to this address; set advertise.callers to the VM's own IP:port`},
-		{"unknown role", `"gate", "keeper"`, `"gate", "keeper", "king"`, `vm.roles = "king": not known here; write one of gate, keeper`},
-		{"keeper without folder", `data_folder = "/var/lib/slateway"`, ``, `vm.data_folder: missing, and a keeper keeps its state there; name a folder on a disk that lasts`},
-		{"bad name", `"vm1"`, `"VM 1"`, `vm.name = "VM 1": not a name; write 1 to 63 lower-case letters, digits, dots and hyphens`},
-		{"heartbeat", `[listen]`, "[member]\nheartbeat = \"2s\"\n[listen]", `member.heartbeat = 2s: must be at most a 2. part of member.suspect_after = 2s; raise the second or lower the first`},
+		{"no port", `"10.0.0.1:8081"`, `"10.0.0.1"`, `listen.operators = "10.0.0.1": not an IP address with a port; write IP:port, such as "10.0.0.1:8080"`},
+		{"host name", `"10.0.0.1:8081"`, `"vm1:8081"`, `listen.operators = "vm1:8081": not an IP address with a port; write IP:port, such as "10.0.0.1:8080"`},
+		{"clash", `"10.0.0.1:8081"`, `"0.0.0.0:8080"`, `is already used by`},
+		{"unspecified advertised", `"10.0.0.1:8080"`, `"0.0.0.0:8080"`, `advertise.callers = "0.0.0.0:8080": other VMs cannot connect to this address; set advertise.callers to the VM's own IP:port`},
+		{"unknown role", `"gate", "keeper"`, `"gate", "keeper", "king"`, `vm.roles = "king": unknown value; use one of gate, keeper`},
+		{"keeper without folder", `data_folder = "/var/lib/slateway"`, ``, `vm.data_folder: missing, but a keeper stores its state there; set it to a folder on a persistent disk`},
+		{"bad name", `"vm1"`, `"VM 1"`, `vm.name = "VM 1": not a valid name; use 1 to 63 lower-case letters, digits, dots and hyphens`},
+		{"heartbeat", `[listen]`, "[member]\nheartbeat = \"2s\"\n[listen]", `member.heartbeat = 2s: must be at most 1/2 of member.suspect_after = 2s; raise the second or lower the first`},
 		{"no unit", `[listen]`, "[timeouts]\ndial = 500\n[listen]", `timeouts.dial: a duration without a unit; write it with its unit, such as "500ms" or "10s"`},
 		{"lease too long", `[listen]`, "[config]\nlease = \"1m\"\n[listen]", `config.lease = 1m0s: a change could not be in force everywhere within 9 s; set it to at most 8s`},
-		{"drain too short", `[listen]`, "[timeouts]\ndrain = \"10s\"\n[listen]", `timeouts.drain = 10s: a gate would stop while callers may still hold its address; set it to at least 16s`},
+		{"drain too short", `[listen]`, "[timeouts]\ndrain = \"10s\"\n[listen]", `timeouts.drain = 10s: a gate would stop while callers may still use its address; set it to at least 16s`},
 		{"own keeper differs", `"10.0.0.1:8082"` + "\n[[", `"10.0.0.1:9082"` + "\n[[", `keeper[0].peers = "10.0.0.1:8082": this VM's peers address is "10.0.0.1:9082"; write the same address in both`},
 		{"wrong type", `"10.0.0.1:8080"`, `8080`, `line 9 (last key "listen.callers"): incompatible types`},
 		{"zero", `[listen]`, "[limits]\nmax_queue = 0\n[listen]", `limits.max_queue = 0: must be positive; set it to at least 1`},
@@ -60,8 +60,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			text := strings.Replace(small, c.old, c.replacement, 1)
-			g.Expect(text).NotTo(Equal(small))
+			text := strings.Replace(smallSite, c.old, c.replacement, 1)
+			g.Expect(text).NotTo(Equal(smallSite))
 			_, err := settings.Parse(text)
 			g.Expect(err).To(MatchError(ContainSubstring(c.problem)))
 		})
@@ -80,17 +80,17 @@
 	file := filepath.Join(folder, "file")
 	g.Expect(os.WriteFile(file, nil, 0o600)).To(Succeed())
 	g.Expect(load(t, file)).To(MatchError(ContainSubstring("is not a folder")))
-	// /proc takes no files from anyone, root included.
-	g.Expect(load(t, "/proc")).To(MatchError(ContainSubstring(`vm.data_folder = "/proc": the folder takes no files`)))
+	// Nobody can create files in /proc, root included.
+	g.Expect(load(t, "/proc")).To(MatchError(ContainSubstring(`vm.data_folder = "/proc": the folder is not writable`)))
 
 	_, err := settings.Load(filepath.Join(folder, "none.toml"))
-	g.Expect(err).To(MatchError(ContainSubstring("no such file or directory; name a readable TOML file")))
+	g.Expect(err).To(MatchError(ContainSubstring("no such file or directory; specify a readable TOML file")))
 }
 
 func load(t *testing.T, folder string) error {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "slateway.toml")
-	text := strings.Replace(small, "/var/lib/slateway", folder, 1)
+	text := strings.Replace(smallSite, "/var/lib/slateway", folder, 1)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
