--- a/internal/telemetry/conn.go
+++ b/internal/telemetry/conn.go
@@ -5,17 +5,17 @@
 	"net"
 )
 
-// Suffixes of the counters of bytes that connections carry, without the headers
-// of TCP and IP.
+// Suffixes of the counters of the payload bytes of connections, without TCP and IP
+// headers.
 const (
 	BytesInSuffix  = ".bytes_in"
 	BytesOutSuffix = ".bytes_out"
 )
 
-// DialFunc opens connections, as in net.Dialer.DialContext.
+// DialFunc opens a connection, like net.Dialer.DialContext.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// CountDial counts the bytes of the connections that dial opens, under name.
+// CountDial wraps dial to count the bytes of its connections under name.
 func (m *Metrics) CountDial(name string, dial DialFunc) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		connection, err := dial(ctx, network, address)
@@ -26,7 +26,7 @@
 	}
 }
 
-// CountListener counts the bytes of the connections that come in, under name.
+// CountListener wraps listener to count the bytes of its connections under name.
 func (m *Metrics) CountListener(name string, listener net.Listener) net.Listener {
 	return &countedListener{Listener: listener, metrics: m, name: name}
 }
@@ -52,14 +52,14 @@
 	name    string
 }
 
-// Read reads and counts.
+// Read reads from the connection and counts the bytes.
 func (c *countedConn) Read(buffer []byte) (int, error) {
 	n, err := c.Conn.Read(buffer)
 	c.metrics.Add(c.name+BytesInSuffix, int64(n))
 	return n, err
 }
 
-// Write writes and counts.
+// Write writes to the connection and counts the bytes.
 func (c *countedConn) Write(data []byte) (int, error) {
 	n, err := c.Conn.Write(data)
 	c.metrics.Add(c.name+BytesOutSuffix, int64(n))
--- a/internal/telemetry/expose.go
+++ b/internal/telemetry/expose.go
@@ -11,14 +11,14 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Snapshot is the state of all metrics at one moment.
+// Snapshot holds the values of all metrics at one point in time.
 type Snapshot struct {
 	Counters   map[string]int64   `json:"counters"`
 	Gauges     map[string]int64   `json:"gauges"`
 	Histograms map[string]Latency `json:"histograms"`
 }
 
-// Latency sums up one histogram; all durations are in µs.
+// Latency summarizes one histogram; all durations are in µs.
 type Latency struct {
 	Count  int64   `json:"count"`
 	SumUs  int64   `json:"sum_us"`
@@ -30,7 +30,7 @@
 	MaxUs  int64   `json:"max_us"`
 }
 
-// Snapshot reads all metrics.
+// Snapshot returns the current values of all metrics.
 func (m *Metrics) Snapshot() Snapshot {
 	snapshot := Snapshot{Counters: map[string]int64{}, Gauges: map[string]int64{}, Histograms: map[string]Latency{}}
 	m.registry.Each(func(name string, metric any) {
@@ -40,13 +40,13 @@
 		case metrics.Gauge:
 			snapshot.Gauges[name] = metric.Value()
 		case metrics.Histogram:
-			snapshot.Histograms[name] = sumUp(metric.Snapshot())
+			snapshot.Histograms[name] = summarize(metric.Snapshot())
 		}
 	})
 	return snapshot
 }
 
-func sumUp(histogram metrics.Histogram) Latency {
+func summarize(histogram metrics.Histogram) Latency {
 	return Latency{
 		Count:  histogram.Count(),
 		SumUs:  histogram.Sum(),
@@ -65,11 +65,11 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if wantsPrometheus(r) {
 			w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-			_ = m.Snapshot().writePrometheus(w) // the client has gone
+			_ = m.Snapshot().writePrometheus(w) // fails only if the client has disconnected
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(m.Snapshot()) // the client has gone
+		_ = json.NewEncoder(w).Encode(m.Snapshot()) // fails only if the client has disconnected
 	})
 }
 
@@ -77,7 +77,7 @@
 func (m *Metrics) TextHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-		_ = m.Snapshot().writePrometheus(w) // the client has gone
+		_ = m.Snapshot().writePrometheus(w) // fails only if the client has disconnected
 	})
 }
 
@@ -89,8 +89,8 @@
 	return strings.HasPrefix(accept, "text/plain") || strings.HasPrefix(accept, "application/openmetrics-text")
 }
 
-// writePrometheus writes the text exposition format. A counter of one reason
-// becomes a label, so that sums over all reasons need no pattern of names.
+// writePrometheus writes the Prometheus text format. The reason of a refusal or
+// retry becomes a label, so that a sum over all reasons needs no name pattern.
 func (s Snapshot) writePrometheus(w io.Writer) error {
 	var text strings.Builder
 	written := map[string]bool{}
--- a/internal/telemetry/histogram.go
+++ b/internal/telemetry/histogram.go
@@ -9,8 +9,9 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// longestLatency is the largest value of a histogram; longer ones count as it.
-const longestLatency = time.Hour
+// maxLatency is the largest value that a histogram records; longer durations
+// are recorded as this value.
+const maxLatency = time.Hour
 
 const significantDigits = 3
 
@@ -19,19 +20,19 @@
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, longestLatency.Microseconds(), significantDigits)
+	return hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits)
 }
 
 // latencyHistogram is a metrics.Histogram that counts every value, in µs. The
-// library's own histograms keep a random choice of values, which loses the tail
-// that the 99.9th percentile is read from.
+// histograms of the go-metrics library keep a random sample, which loses the tail
+// that the 99.9th percentile depends on.
 type latencyHistogram struct {
 	mu     sync.Mutex
 	values *hdrhistogram.Histogram
 	sum    int64
 }
 
-// Clear forgets all values.
+// Clear removes all values.
 func (h *latencyHistogram) Clear() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -41,14 +42,14 @@
 
 // Update records a value in µs.
 func (h *latencyHistogram) Update(value int64) {
-	value = min(max(value, 0), longestLatency.Microseconds())
+	value = min(max(value, 0), maxLatency.Microseconds())
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.sum += value
-	_ = h.values.RecordValue(value) // fails only outside the bounds set above
+	_ = h.values.RecordValue(value) // fails only for values outside the range clamped to above
 }
 
-// Snapshot copies the histogram.
+// Snapshot returns a copy of the histogram.
 func (h *latencyHistogram) Snapshot() metrics.Histogram {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -57,14 +58,14 @@
 	return &latencyHistogram{values: copied, sum: h.sum}
 }
 
-// Percentile gives the value at p, from 0 to 1.
+// Percentile returns the value at percentile p, from 0 to 1.
 func (h *latencyHistogram) Percentile(p float64) float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return float64(h.values.ValueAtPercentile(p * 100))
 }
 
-// Percentiles gives the values at each p, from 0 to 1.
+// Percentiles returns the values at the percentiles ps, each from 0 to 1.
 func (h *latencyHistogram) Percentiles(ps []float64) []float64 {
 	values := make([]float64, len(ps))
 	for i, p := range ps {
@@ -73,50 +74,50 @@
 	return values
 }
 
-// Count gives the number of values.
+// Count returns the number of values.
 func (h *latencyHistogram) Count() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.values.TotalCount()
 }
 
-// Sum gives the sum of all values.
+// Sum returns the sum of all values.
 func (h *latencyHistogram) Sum() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.sum
 }
 
-// Max gives the largest value.
+// Max returns the largest value.
 func (h *latencyHistogram) Max() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.values.Max()
 }
 
-// Min gives the smallest value.
+// Min returns the smallest value.
 func (h *latencyHistogram) Min() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.values.Min()
 }
 
-// Mean gives the mean.
+// Mean returns the mean of all values.
 func (h *latencyHistogram) Mean() float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.values.Mean()
 }
 
-// StdDev gives the standard deviation.
+// StdDev returns the standard deviation.
 func (h *latencyHistogram) StdDev() float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.values.StdDev()
 }
 
-// Variance gives the square of the standard deviation.
+// Variance returns the variance.
 func (h *latencyHistogram) Variance() float64 { return math.Pow(h.StdDev(), 2) }
 
-// Sample gives none: the histogram keeps counts, not single values.
+// Sample returns an empty sample, because the histogram does not keep single values.
 func (h *latencyHistogram) Sample() metrics.Sample { return metrics.NilSample{} }
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -1,5 +1,5 @@
-// Package telemetry shows what a daemon does: its log, its counters for each
-// refusal and retry reason, and its latency histograms.
+// Package telemetry provides a daemon's log and metrics: counters, among them one
+// for each refusal and retry reason, gauges and latency histograms.
 package telemetry
 
 import (
@@ -10,16 +10,16 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Log is a logger with what may change while it is in use.
+// Log is a logger whose level can be changed while it is in use.
 type Log struct {
 	*zap.Logger
 	level  zap.AtomicLevel
 	writer *boundedWriter
 }
 
-// NewLogger makes a logger that writes to standard output. Level is debug, info,
-// warn or error; format is json or console. Writing never blocks; what goes
-// beyond the bounds on its volume is dropped and counted in a line of its own.
+// NewLogger creates a logger that writes to standard output. The level is debug,
+// info, warn or error; the format is json or console. Logging never blocks: lines
+// beyond the limits on the log's volume are dropped, and a log line reports how many.
 func NewLogger(level, format string) (*Log, error) {
 	parsed, err := zapcore.ParseLevel(level)
 	if err != nil {
@@ -36,14 +36,14 @@
 	case "console":
 		encoder = zapcore.NewConsoleEncoder(config)
 	default:
-		return nil, fmt.Errorf("log format %q: write json or console", format)
+		return nil, fmt.Errorf("log format %q: unknown format; use json or console", format)
 	}
 	log := &Log{level: zap.NewAtomicLevelAt(parsed), writer: newBoundedWriter(os.Stdout)}
 	log.Logger = zap.New(zapcore.NewCore(encoder, log.writer, log.level), zap.AddCaller())
 	return log, nil
 }
 
-// SetLevel changes the level from now on.
+// SetLevel changes the level of all lines logged from now on.
 func (l *Log) SetLevel(level string) error {
 	parsed, err := zapcore.ParseLevel(level)
 	if err != nil {
@@ -53,19 +53,20 @@
 	return nil
 }
 
-// Close writes what waits, as far as the reader takes it within a moment.
+// Close writes the pending lines and stops the writer. It gives up after a short
+// timeout if the reader of the output does not read.
 func (l *Log) Close() { l.writer.close() }
 
-// Fields that tie log lines of one request together.
+// Fields by which the log lines of one request can be found.
 
-// RequestID is the field of the request's identity.
+// RequestID returns the field for a request's ID.
 func RequestID(id string) zap.Field { return zap.String("request_id", id) }
 
-// Team is the field of the team that asked.
+// Team returns the field for the team that sent a request.
 func Team(name string) zap.Field { return zap.String("team", name) }
 
-// Upstream is the field of the replica that a request was sent to.
+// Upstream returns the field for the replica that a request was sent to.
 func Upstream(replica string) zap.Field { return zap.String("upstream", replica) }
 
-// Reason is the field of a refusal's or retry's reason.
+// Reason returns the field for the reason of a refusal or retry.
 func Reason(reason string) zap.Field { return zap.String("reason", reason) }
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -8,22 +8,22 @@
 	"slateway.example/slateway/internal/apierr"
 )
 
-// Prefixes of the counters that have one member for each reason.
+// Prefixes of the counters that exist once for each reason.
 const (
 	RefusedPrefix = "refused."
 	RetriedPrefix = "retried."
 )
 
-// Metrics are the counters, gauges and latency histograms of one daemon. It is
-// safe for concurrent use; a metric exists from its first use on.
+// Metrics holds the counters, gauges and latency histograms of one daemon. It is
+// safe for concurrent use. A metric is created at its first use.
 type Metrics struct {
 	registry metrics.Registry
 }
 
-// NewMetrics makes an empty set.
+// NewMetrics returns an empty set of metrics.
 func NewMetrics() *Metrics { return &Metrics{registry: metrics.NewRegistry()} }
 
-// Count adds one to the counter.
+// Count adds 1 to the counter.
 func (m *Metrics) Count(name string) { m.Add(name, 1) }
 
 // Add adds n to the counter.
@@ -32,10 +32,10 @@
 // Refused counts a refusal under its reason.
 func (m *Metrics) Refused(reason apierr.Reason) { m.Count(RefusedPrefix + string(reason)) }
 
-// Retried counts a retry under the reason of the failure before it.
+// Retried counts a retry under the reason for which the previous attempt failed.
 func (m *Metrics) Retried(reason apierr.Reason) { m.Count(RetriedPrefix + string(reason)) }
 
-// Set sets the gauge.
+// Set sets the gauge to value.
 func (m *Metrics) Set(name string, value int64) {
 	m.registry.GetOrRegister(name, metrics.NewGauge).(metrics.Gauge).Update(value)
 }
@@ -46,7 +46,7 @@
 	m.registry.GetOrRegister(name, newLatencyHistogram).(metrics.Histogram).Update(d.Microseconds())
 }
 
-// Value reads a counter; one that was never used is zero.
+// Value returns the value of a counter, 0 if it was never used.
 func (m *Metrics) Value(name string) int64 {
 	counter, ok := m.registry.Get(name).(metrics.Counter)
 	if !ok {
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -22,7 +22,7 @@
 	for i := 1; i <= 1000; i++ {
 		metrics.Observe("first_token", time.Duration(i)*time.Millisecond)
 	}
-	metrics.Observe("first_token", 24*time.Hour) // above the longest value: kept, as the longest
+	metrics.Observe("first_token", 24*time.Hour) // above the largest value: recorded as the largest
 
 	var snapshot telemetry.Snapshot
 	g.Expect(json.Unmarshal([]byte(get(t, metrics, "/metrics")), &snapshot)).To(Succeed())
--- a/internal/telemetry/writer.go
+++ b/internal/telemetry/writer.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// maxLinesPerSecond bounds the volume of the log: about ten lines for each of
-	// the requests that a gate of a small VM takes at its peak, some 100 a second.
+	// maxLinesPerSecond limits the volume of the log: about ten lines per request at
+	// the peak load of a gate on a small VM, some 100 requests per second.
 	maxLinesPerSecond = 1000
-	// maxLineBurst may be written at once within the rate.
+	// maxLineBurst is the burst size of the rate limit.
 	maxLineBurst = 2000
-	// maxWaitingBytes bounds what waits for a reader that has stopped reading.
-	maxWaitingBytes = 1 << 20
-	// flushInterval gathers lines into one write.
+	// maxPendingBytes limits the pending lines when the reader has stopped reading.
+	maxPendingBytes = 1 << 20
+	// flushInterval is the time during which lines are collected into one write.
 	flushInterval = 20 * time.Millisecond
-	// closeWait is how long the last lines may take.
-	closeWait = 200 * time.Millisecond
+	// closeTimeout limits how long close waits for the last lines to be written.
+	closeTimeout = 200 * time.Millisecond
 )
 
-// boundedWriter hands lines to a goroutine that writes them. A daemon that
-// blocked on its log would stop serving when the reader of its output does.
+// boundedWriter passes lines to a goroutine that writes them. If logging blocked, the
+// daemon would stop serving whenever the reader of its output stops reading.
 type boundedWriter struct {
 	out     io.Writer
 	limiter *rate.Limiter
@@ -34,8 +34,8 @@
 	once    sync.Once
 
 	mu      sync.Mutex
-	waiting []byte
-	dropped int // lines since the last that was written
+	pending []byte
+	dropped int // lines dropped since the last accepted one
 }
 
 func newBoundedWriter(out io.Writer) *boundedWriter {
@@ -47,20 +47,20 @@
 	return w
 }
 
-// Write takes one line; it never fails and never waits for the reader.
+// Write queues or drops one line. It never fails and never blocks on the reader.
 func (w *boundedWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.waiting)+len(line) > maxWaitingBytes || !w.limiter.Allow() {
+	if len(w.pending)+len(line) > maxPendingBytes || !w.limiter.Allow() {
 		w.dropped++
 		return len(line), nil
 	}
 	if w.dropped > 0 {
-		w.waiting = fmt.Appendf(w.waiting, `{"level":"warn","time":%q,"msg":"log lines dropped","lines":%d}`+"\n",
+		w.pending = fmt.Appendf(w.pending, `{"level":"warn","time":%q,"msg":"log lines dropped","lines":%d}`+"\n",
 			time.Now().UTC().Format(time.RFC3339Nano), w.dropped)
 		w.dropped = 0
 	}
-	w.waiting = append(w.waiting, line...)
+	w.pending = append(w.pending, line...)
 	select {
 	case w.wake <- struct{}{}:
 	default:
@@ -68,7 +68,7 @@
 	return len(line), nil
 }
 
-// Sync has nothing to do: lines are on their way.
+// Sync does nothing: the goroutine writes queued lines without being asked.
 func (w *boundedWriter) Sync() error { return nil }
 
 func (w *boundedWriter) run() {
@@ -92,17 +92,17 @@
 
 func (w *boundedWriter) flush() {
 	w.mu.Lock()
-	data := w.waiting
-	w.waiting = nil
+	data := w.pending
+	w.pending = nil
 	w.mu.Unlock()
 	if len(data) > 0 {
-		_, _ = w.out.Write(data) // nobody could be told of it
+		_, _ = w.out.Write(data) // an error of the log itself cannot be reported
 	}
 }
 
 func (w *boundedWriter) close() {
 	w.once.Do(func() { close(w.stop) })
-	timer := time.NewTimer(closeWait)
+	timer := time.NewTimer(closeTimeout)
 	defer timer.Stop()
 	select {
 	case <-w.done:
--- a/internal/telemetry/writer_test.go
+++ b/internal/telemetry/writer_test.go
@@ -8,53 +8,54 @@
 	"time"
 )
 
-// stuckReader takes nothing until it is released.
-type stuckReader struct {
+// blockingWriter blocks all writes until it is released.
+type blockingWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
 	got     bytes.Buffer
 }
 
-func (s *stuckReader) Write(data []byte) (int, error) {
+func (s *blockingWriter) Write(data []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.got.Write(data)
 }
 
-func (s *stuckReader) text() string {
+func (s *blockingWriter) text() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.got.String()
 }
 
-// The reader of a daemon's output stops reading. Requests go on as before, the
-// memory of lines that wait is bounded, and the log says how many are missing.
+// If the reader of a daemon's output stops reading, logging must not block, the
+// memory for pending lines must stay limited, and the log must report how many lines
+// were dropped.
 func TestLogNeverBlocksAndCountsWhatItDrops(t *testing.T) {
-	reader := &stuckReader{release: make(chan struct{})}
-	w := newBoundedWriter(reader)
+	out := &blockingWriter{release: make(chan struct{})}
+	w := newBoundedWriter(out)
 	line := []byte(strings.Repeat("x", 1000) + "\n")
-	began := time.Now()
-	const lines = 5 * maxWaitingBytes / 1000
+	start := time.Now()
+	const lines = 5 * maxPendingBytes / 1000
 	for range lines {
 		if _, err := w.Write(line); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if took := time.Since(began); took > time.Second {
+	if took := time.Since(start); took > time.Second {
 		t.Fatalf("writing took %s", took)
 	}
 	w.mu.Lock()
-	waiting, dropped := len(w.waiting), w.dropped
-	told := bytes.Contains(w.waiting, []byte("log lines dropped")) // the count begins anew with it
+	pending, dropped := len(w.pending), w.dropped
+	reported := bytes.Contains(w.pending, []byte("log lines dropped")) // the report resets the count
 	w.mu.Unlock()
-	if waiting > maxWaitingBytes || dropped == 0 && !told {
-		t.Fatalf("%d bytes wait, %d lines dropped", waiting, dropped)
+	if pending > maxPendingBytes || dropped == 0 && !reported {
+		t.Fatalf("%d bytes pending, %d lines dropped", pending, dropped)
 	}
-	close(reader.release)
-	for deadline := time.Now().Add(5 * time.Second); !strings.Contains(reader.text(), "log lines dropped"); {
+	close(out.release)
+	for deadline := time.Now().Add(5 * time.Second); !strings.Contains(out.text(), "log lines dropped"); {
 		if time.Now().After(deadline) {
-			t.Fatal("nothing says that lines are missing")
+			t.Fatal("the log does not report the dropped lines")
 		}
 		_, _ = w.Write([]byte("after\n"))
 		time.Sleep(10 * time.Millisecond)
