--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -10,7 +10,7 @@
 	"slateway.example/slateway/internal/account"
 )
 
-// gateLog writes the lines of one gate's log.
+// gateLog builds the log of one gate.
 type gateLog struct {
 	text strings.Builder
 	at   time.Time
@@ -42,8 +42,8 @@
 	g.line("request answered", fmt.Sprintf(`"request_id":%q,"first":%q,"longest_pause":%q,"after":"900ms"`, id, first, pause))
 }
 
-// tried is an attempt that is answered.
-func (g *gateLog) tried(id string, number int, replica, queued, first, pause string) {
+// answeredAttempt writes the lines of an attempt that is answered.
+func (g *gateLog) answeredAttempt(id string, number int, replica, queued, first, pause string) {
 	g.attempt(id, number, replica, queued)
 	g.answered(id, first, pause)
 }
@@ -67,14 +67,14 @@
 		cause account.Cause
 		write func(id string)
 	}{
-		{account.InTime, func(id string) { g.tried(id, 1, "i-1", "0s", "50ms", "30ms") }},
-		{account.Queued, func(id string) { g.tried(id, 2, "i-1", "400ms", "450ms", "30ms") }},
-		{account.AtReplica, func(id string) { g.tried(id, 3, "i-3", "10ms", "400ms", "30ms") }},
-		{account.Stalled, func(id string) { g.tried(id, 4, "i-3", "0s", "40ms", "300ms") }},
+		{account.InTime, func(id string) { g.answeredAttempt(id, 1, "i-1", "0s", "50ms", "30ms") }},
+		{account.Queued, func(id string) { g.answeredAttempt(id, 2, "i-1", "400ms", "450ms", "30ms") }},
+		{account.AtReplica, func(id string) { g.answeredAttempt(id, 3, "i-3", "10ms", "400ms", "30ms") }},
+		{account.Stalled, func(id string) { g.answeredAttempt(id, 4, "i-3", "0s", "40ms", "300ms") }},
 		{account.ReplicaDown, func(id string) {
 			g.attempt(id, 5, "i-2", "0s")
 			g.failed(id, 5, "i-2", "not_sent", "700ms")
-			g.tried(id, 6, "i-1", "0s", "760ms", "30ms")
+			g.answeredAttempt(id, 6, "i-1", "0s", "760ms", "30ms")
 		}},
 		{account.ReplicaDied, func(id string) {
 			g.attempt(id, 7, "i-2", "0s")
@@ -124,10 +124,10 @@
 func TestTheReportIsWritten(t *testing.T) {
 	g := newGateLog()
 	g.routed("in-time")
-	g.tried("in-time", 1, "i-1", "0s", "50ms", "30ms")
+	g.answeredAttempt("in-time", 1, "i-1", "0s", "50ms", "30ms")
 	g.routed("late")
-	g.tried("late", 2, "i-2", "0s", "400ms", "30ms")
-	g.text.WriteString("not of ours\n")
+	g.answeredAttempt("late", 2, "i-2", "0s", "400ms", "30ms")
+	g.text.WriteString("not a log line\n")
 	var out strings.Builder
 	if err := g.account(t).Write(&out); err != nil {
 		t.Fatal(err)
@@ -136,7 +136,7 @@
 		`2 requests, 1 in time`,
 		`1 +400ms +400ms +letters +waited at the replica`,
 		`1 +400ms +400ms +i-2 +waited at the replica`,
-		`1 lines not read`,
+		`1 unreadable lines`,
 	} {
 		if !regexp.MustCompile(want).MatchString(out.String()) {
 			t.Errorf("no %q in:\n%s", want, out.String())
@@ -144,9 +144,9 @@
 	}
 }
 
-// A gate that is stopped gives an item back, and another one ends it. Whoever is on
-// call names the logs in any order; read from the last gate to the first, the item
-// counted as ended and, by the first gate's lines, as unfinished too.
+// A stopped gate returns an item and another gate completes it. The logs may be read
+// in any order: reading the second gate's log first used to count the item both as
+// ended and, because of the first gate's lines, as unfinished.
 func TestItemsAreJoinedOverGates(t *testing.T) {
 	first, second := newGateLog(), newGateLog()
 	first.attempt("job/item", 1, "i-1", "0s")
@@ -166,37 +166,38 @@
 			}
 		}
 		b := ledger.Report().Batch
-		if b.Items != 2 || b.Late != 1 || b.Runs != 4 || b.SeveralRuns != 2 || b.Anew != 1 || b.Stopped != 1 || b.Unfinished != 1 ||
+		if b.Items != 2 || b.Late != 1 || b.Runs != 4 || b.SeveralRuns != 2 || b.Restarts != 1 || b.Stopped != 1 || b.Unfinished != 1 ||
 			b.MedianStopped != 80*time.Millisecond {
 			t.Errorf("%+v", b)
 		}
 	}
 }
 
-// Logs are read on call as they are: with the last line cut off, other programs' lines
-// among them, and lines longer than any of ours.
+// Logs in production may contain an incomplete last line, lines of other programs and
+// lines longer than any of slatewayd's. These are counted and listed.
 func TestForeignAndBrokenLinesAreCountedAndNamed(t *testing.T) {
 	g := newGateLog()
 	g.routed("q")
-	g.text.WriteString("panic: not of ours\n")
+	g.text.WriteString("panic: not a log line\n")
 	g.text.WriteString(`{"level":"info"}` + "\n")
 	g.text.WriteString(strings.Repeat("x", 3<<20) + "\n")
 	g.answered("q", "40ms", "30ms")
 	g.text.WriteString(`{"level":"info","time":"20`)
 	report := g.account(t)
 	if all, _ := report.Requests(); all != 1 || report.Unread != 4 {
-		t.Errorf("%d requests, %d lines not read: %v", all, report.Unread, report.Foreign)
+		t.Errorf("%d requests, %d unreadable lines: %v", all, report.Unread, report.Foreign)
 	}
 	var numbers []int
 	for _, line := range report.Foreign {
 		numbers = append(numbers, line.Number)
 	}
 	if fmt.Sprint(numbers) != "[2 3 4 6]" {
-		t.Errorf("lines %v are named", numbers)
+		t.Errorf("lines %v are listed", numbers)
 	}
 }
 
-// Only what has not ended is held, so that large logs can be read.
+// Only requests that have not ended are kept in memory, so that large logs can be
+// read.
 func TestEndedRequestsAreNotHeld(t *testing.T) {
 	g := newGateLog()
 	for i := range 2000 {
@@ -209,7 +210,7 @@
 		t.Fatal(err)
 	}
 	if ledger.Open() != 0 {
-		t.Errorf("%d are held", ledger.Open())
+		t.Errorf("%d ended requests are kept", ledger.Open())
 	}
 }
 
--- a/internal/account/cause.go
+++ b/internal/account/cause.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Cause is why a request was not served in time.
+// Cause is the reason why a request was not served in time, or InTime.
 type Cause string
 
-// Causes. Refusals are RefusedPrefix and the reason.
+// Causes. The cause of a refused request is RefusedPrefix followed by the reason.
 const (
 	InTime       Cause = "in time"
 	CameLate     Cause = "its caller had tried for longer than the target before"
@@ -24,10 +24,11 @@
 	GateLost     Cause = "its gate ended"
 )
 
-// RefusedPrefix begins the cause of a request that a gate refused.
+// RefusedPrefix is the prefix of the cause of a request that a gate refused.
 const RefusedPrefix = "refused: "
 
-// causeOfFailure gives the cause behind the reason of a failed or stopped attempt.
+// causeOfFailure returns the cause for the logged reason of a failed or stopped
+// attempt.
 func causeOfFailure(reason string) Cause {
 	switch reason {
 	case "not_sent", "misdirected":
@@ -41,7 +42,7 @@
 	}
 }
 
-// request is what the lines say of a caller's request.
+// request holds what the log lines read so far report about a caller's request.
 type request struct {
 	at       time.Time
 	vm       string
@@ -50,35 +51,35 @@
 	maxPause time.Duration
 	waited   time.Duration
 
-	queued  time.Duration
-	lost    []verdict // attempts that gave no answer
-	current *line     // the attempt that runs
+	queued         time.Duration
+	failedAttempts []attribution // attempts without an answer
+	current        *line         // the attempt in progress
 }
 
-// verdict is what became of a request, or of an attempt that gave no answer.
-type verdict struct {
+// attribution attributes the end of a request, or a failed attempt, to a cause.
+type attribution struct {
 	cause   Cause
-	replica string        // where the time went, if at a replica
-	took    time.Duration // what the cause took; 0 if that is not known
+	replica string        // the replica where the time was spent, if any
+	took    time.Duration // the time due to the cause; 0 if unknown
 }
 
-// answered judges a request by its answer: of the parts of its time, the longest is
-// the cause of its being late.
-func (r *request) answered(in *line) verdict {
+// attributeAnswer attributes an attributeAnswer request to a cause. If the answer was overdue, the
+// cause is the longest part of the time until its first event.
+func (r *request) attributeAnswer(in *line) attribution {
 	first, pause := time.Duration(in.First), time.Duration(in.Pause)
 	if first == 0 {
-		first = time.Duration(in.After) // not a stream
+		first = time.Duration(in.After) // the answer is not a stream
 	}
 	if in.Status >= http.StatusBadRequest {
-		return verdict{cause: ReplicaError, replica: r.replica(), took: first}
+		return attribution{cause: ReplicaError, replica: r.replica(), took: first}
 	}
 	if r.target > 0 && r.waited+first > r.target {
-		return r.lateBy(first)
+		return r.longestDelay(first)
 	}
 	if r.maxPause > 0 && pause > r.maxPause {
-		return verdict{cause: Stalled, replica: r.replica(), took: pause}
+		return attribution{cause: Stalled, replica: r.replica(), took: pause}
 	}
-	return verdict{cause: InTime}
+	return attribution{cause: InTime}
 }
 
 func (r *request) replica() string {
@@ -88,30 +89,31 @@
 	return r.current.Upstream
 }
 
-func (r *request) lateBy(first time.Duration) verdict {
-	longest := verdict{cause: CameLate, took: r.waited}
-	consider := func(v verdict) {
+// longestDelay returns the longest part of the time until the first event.
+func (r *request) longestDelay(first time.Duration) attribution {
+	longest := attribution{cause: CameLate, took: r.waited}
+	consider := func(v attribution) {
 		if v.took > longest.took {
 			longest = v
 		}
 	}
-	consider(verdict{cause: Queued, took: r.queued})
+	consider(attribution{cause: Queued, took: r.queued})
 	rest := first - r.queued
-	for _, try := range r.lost {
-		rest -= try.took
-		consider(try)
+	for _, attempt := range r.failedAttempts {
+		rest -= attempt.took
+		consider(attempt)
 	}
-	consider(verdict{cause: AtReplica, replica: r.replica(), took: rest})
+	consider(attribution{cause: AtReplica, replica: r.replica(), took: rest})
 	return longest
 }
 
-// ended judges a request that got no whole answer: by its longest lost attempt if
-// that is what it died of, else by what the line says.
-func (r *request) ended(otherwise Cause, after time.Duration) verdict {
-	result := verdict{cause: otherwise, replica: r.replica(), took: after}
-	for _, try := range r.lost {
-		if 2*try.took > after {
-			result = try
+// attributeFailure attributes a request that got no complete answer to a cause: to the failed
+// attempt that took more than half of its time, if there is one, else to otherwise.
+func (r *request) attributeFailure(otherwise Cause, after time.Duration) attribution {
+	result := attribution{cause: otherwise, replica: r.replica(), took: after}
+	for _, attempt := range r.failedAttempts {
+		if 2*attempt.took > after {
+			result = attempt
 		}
 	}
 	return result
--- a/internal/account/ledger.go
+++ b/internal/account/ledger.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// Ledger takes in log lines and keeps the account. Requests are held one by one only
-// until they end. Of batch items some counts each are held to the end: several gates
-// run an item, and their logs may be read in any order.
+// Ledger reads log lines and counts requests by cause. A request is kept in memory
+// only until it ends. Each batch item is kept until the report as a few counters,
+// because several gates may run an item and their logs may be read in any order.
 type Ledger struct {
 	pause time.Duration
 	open  map[requestKey]*request
 	items map[string]*item
 
-	start   time.Time // of the first line
+	start   time.Time // time of the earliest line
 	rows    map[rowKey]*Row
 	seconds map[secondKey]int
-	batch   Batch // of runs; what is counted by item comes with the report
+	batch   Batch // counters of runs only; Report adds the counters of items
 	foreign []LineError
 	unread  int
 }
@@ -36,11 +36,12 @@
 	cause  Cause
 }
 
-// keptForeign bounds the foreign lines that are named; all are counted.
-const keptForeign = 20
+// maxListedForeign is the maximum number of unreadable lines that are listed; all of them
+// are counted.
+const maxListedForeign = 20
 
-// NewLedger makes an empty ledger. A stream counts as paused if two of its events are
-// further apart than pause; 0: than its route says.
+// NewLedger returns an empty ledger. A stream counts as paused if two of its events
+// are further apart than pause, or, if pause is 0, than its route allows.
 func NewLedger(pause time.Duration) *Ledger {
 	return &Ledger{
 		pause: pause,
@@ -49,54 +50,54 @@
 	}
 }
 
-// Read takes in the lines of one process, in their order. VM is the process's name
-// where its lines do not say it.
+// Read reads the log of one process. vm is the name of the process until a line of
+// the log names it.
 func (l *Ledger) Read(vm string, from io.Reader) error {
 	process := &process{ledger: l, vm: vm}
-	err := read(vm, from, process.take, l.noteForeign)
-	process.end()
+	err := read(vm, from, process.apply, l.recordForeign)
+	process.closeOpen()
 	return err
 }
 
-func (l *Ledger) noteForeign(f LineError) {
+func (l *Ledger) recordForeign(f LineError) {
 	l.unread++
-	if len(l.foreign) < keptForeign {
+	if len(l.foreign) < maxListedForeign {
 		l.foreign = append(l.foreign, f)
 	}
 }
 
-// process is one process's file while it is read.
+// process is the state for reading the log of one process.
 type process struct {
 	ledger *Ledger
 	vm     string
 }
 
-func (p *process) take(in *line) {
+func (p *process) apply(in *line) {
 	l := p.ledger
 	if l.start.IsZero() || in.Time.Before(l.start) {
 		l.start = in.Time
 	}
 	switch {
 	case in.Message == msgServing:
-		p.end() // what an earlier run of the process had is lost
+		p.closeOpen() // the process restarted: the requests of its earlier run are lost
 		if in.VM != "" {
 			p.vm = in.VM
 		}
 	case in.Request == "":
 	case in.Job != "" && in.Message == msgItemEnds:
-		l.takeItem(in.Job+"/"+in.Request, in)
+		l.applyToItem(in.Job+"/"+in.Request, in)
 	case isItem(in.Request):
-		l.takeItem(in.Request, in)
+		l.applyToItem(in.Request, in)
 	default:
-		p.takeRequest(in)
+		p.applyToRequest(in)
 	}
 }
 
-// isItem says whether an attempt's ID is that of a batch item: of its job, a slash and
-// its own.
+// isItem reports whether the ID of an attempt is that of a batch item, which is
+// the job's ID, a slash and the item's own ID.
 func isItem(id string) bool { return strings.Contains(id, "/") }
 
-func (p *process) takeRequest(in *line) {
+func (p *process) applyToRequest(in *line) {
 	key := requestKey{p.vm, in.Request}
 	if in.Message == msgRouted {
 		p.ledger.open[key] = newRequest(p.vm, in, p.ledger.pause)
@@ -104,7 +105,7 @@
 	}
 	r := p.ledger.open[key]
 	if r == nil {
-		p.unrouted(in)
+		p.countUnrouted(in)
 		return
 	}
 	switch in.Message {
@@ -112,22 +113,22 @@
 		r.queued += time.Duration(in.Queued)
 		r.current = in
 	case msgFailed, msgStopped:
-		r.loses(in)
+		r.recordFailedAttempt(in)
 	case msgAnswered:
-		p.close(key, r, r.answered(in))
+		p.close(key, r, r.attributeAnswer(in))
 	case msgRefused:
-		p.close(key, r, r.ended(Cause(RefusedPrefix+in.Reason), time.Duration(in.After)))
+		p.close(key, r, r.attributeFailure(Cause(RefusedPrefix+in.Reason), time.Duration(in.After)))
 	case msgBrokenOff:
-		p.close(key, r, r.ended(Cut, time.Duration(in.After)))
+		p.close(key, r, r.attributeFailure(Cut, time.Duration(in.After)))
 	case msgLeft:
-		p.close(key, r, r.ended(CallerLeft, time.Duration(in.After)))
+		p.close(key, r, r.attributeFailure(CallerLeft, time.Duration(in.After)))
 	}
 }
 
-// unrouted counts a request that was refused before its route was known.
-func (p *process) unrouted(in *line) {
+// countUnrouted counts a request that was refused before it was routed.
+func (p *process) countUnrouted(in *line) {
 	if in.Message == msgRefused {
-		p.ledger.count(&request{at: in.Time, vm: p.vm}, verdict{cause: Cause(RefusedPrefix + in.Reason)})
+		p.ledger.count(&request{at: in.Time, vm: p.vm}, attribution{cause: Cause(RefusedPrefix + in.Reason)})
 	}
 }
 
@@ -141,30 +142,31 @@
 	}
 }
 
-// loses notes an attempt that gave no answer. One that was stopped since another one
-// answered, or to go on elsewhere, lost nothing.
-func (r *request) loses(in *line) {
+// recordFailedAttempt records an attempt without an answer. Attempts that were stopped because
+// another one answered, or to resume elsewhere, are not failures.
+func (r *request) recordFailedAttempt(in *line) {
 	if in.Message == msgStopped && in.Reason != "silent" && in.Reason != "died" {
 		return
 	}
-	r.lost = append(r.lost, verdict{cause: causeOfFailure(in.Reason), replica: in.Upstream, took: time.Duration(in.After)})
+	r.failedAttempts = append(r.failedAttempts, attribution{cause: causeOfFailure(in.Reason), replica: in.Upstream, took: time.Duration(in.After)})
 }
 
-func (p *process) close(key requestKey, r *request, v verdict) {
+func (p *process) close(key requestKey, r *request, v attribution) {
 	delete(p.ledger.open, key)
 	p.ledger.count(r, v)
 }
 
-// end closes what the process has left open: it was stopped, or its log ends there.
-func (p *process) end() {
+// closeOpen closes the open requests of the process with the cause GateLost, because the
+// process was stopped or its log ends here.
+func (p *process) closeOpen() {
 	for key, r := range p.ledger.open {
 		if key.vm == p.vm {
-			p.close(key, r, verdict{cause: GateLost})
+			p.close(key, r, attribution{cause: GateLost})
 		}
 	}
 }
 
-func (l *Ledger) count(r *request, v verdict) {
+func (l *Ledger) count(r *request, v attribution) {
 	key := rowKey{v.cause, r.route, ""}
 	if v.cause != InTime {
 		key.replica = v.replica
@@ -180,15 +182,15 @@
 	l.seconds[secondKey{int(r.at.Sub(l.start) / time.Second), v.cause}]++
 }
 
-// item is what the lines say of a batch item.
+// item holds the counters of a batch item.
 type item struct {
 	runs   int
-	starts int // of them, runs from the start of the answer
+	starts int // those runs that began at the start of the answer
 	done   bool
 	late   bool
 }
 
-func (l *Ledger) takeItem(id string, in *line) {
+func (l *Ledger) applyToItem(id string, in *line) {
 	found := l.items[id]
 	if found == nil {
 		found = &item{}
@@ -206,21 +208,21 @@
 	case msgFailed:
 		l.batch.Failed++
 	case msgItemEnds:
-		if in.Outcome == "succeeded" { // otherwise another gate goes on with it, or it has failed
+		if in.Outcome == "succeeded" { // otherwise another gate resumes it, or it has failed
 			found.done = true
 			found.late = found.late || in.Late > 0
 		}
 	}
 }
 
-// batchNow gives the account of the items so far.
-func (l *Ledger) batchNow() Batch {
+// batchReport returns the counters of batch items so far.
+func (l *Ledger) batchReport() Batch {
 	b := l.batch
 	for _, found := range l.items {
 		b.count(found)
 	}
 	b.lengths = slices.Sorted(slices.Values(b.lengths))
-	b.MedianStopped = middle(b.lengths)
+	b.MedianStopped = median(b.lengths)
 	return b
 }
 
@@ -231,7 +233,7 @@
 	}
 	b.Items++
 	b.Runs += i.runs
-	b.Anew += max(0, i.starts-1)
+	b.Restarts += max(0, i.starts-1)
 	if i.runs > 1 {
 		b.SeveralRuns++
 	}
@@ -240,9 +242,9 @@
 	}
 }
 
-// Report gives the account so far.
+// Report returns the report on the lines read so far.
 func (l *Ledger) Report() *Report {
-	report := &Report{Start: l.start, Batch: l.batchNow(), Unread: l.unread, Foreign: l.foreign}
+	report := &Report{Start: l.start, Batch: l.batchReport(), Unread: l.unread, Foreign: l.foreign}
 	for _, row := range l.rows {
 		report.Rows = append(report.Rows, *row)
 	}
@@ -254,12 +256,12 @@
 	return report
 }
 
-func middle(sorted []time.Duration) time.Duration {
+func median(sorted []time.Duration) time.Duration {
 	if len(sorted) == 0 {
 		return 0
 	}
 	return sorted[len(sorted)/2]
 }
 
-// Open counts the requests whose end has not been read.
+// Open returns the number of requests whose end has not been read.
 func (l *Ledger) Open() int { return len(l.open) }
--- a/internal/account/line.go
+++ b/internal/account/line.go
@@ -1,6 +1,6 @@
-// Package account reads the log lines of a site's processes and says what became of
-// each request: served in time or, if not, by which one cause. It joins the lines of
-// a request by its ID, and those of a batch item over all gates that ran it.
+// Package account analyses the logs of a site's processes. It determines for each
+// request whether it was served in time and, if not, the one cause. It joins the lines
+// of a request by its ID, and those of a batch item across all gates that ran it.
 package account
 
 import (
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Messages of the log lines that are read.
+// Messages of the log lines that are evaluated.
 const (
 	msgServing   = "serving"
 	msgRouted    = "request routed"
@@ -26,10 +26,11 @@
 	msgItemEnds  = "item ends"
 )
 
-// duration is a time.Duration as log lines write it, such as 1.5s.
+// duration is a time.Duration in the format of log lines, such as 1.5s.
 type duration time.Duration
 
-// UnmarshalJSON reads a duration; what is none makes the line unreadable.
+// UnmarshalJSON parses a duration. A value in another format makes the line
+// unreadable.
 func (d *duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
@@ -40,33 +41,33 @@
 	return err
 }
 
-// line is what is read of a log line.
+// line holds the fields of a log line that are evaluated.
 type line struct {
 	Time     time.Time `json:"time"`
 	Message  string    `json:"msg"`
 	Request  string    `json:"request_id"`
-	Job      string    `json:"job"` // of an item's lines that name it by its own ID
+	Job      string    `json:"job"` // in lines that give an item's own ID as request_id
 	VM       string    `json:"vm"`
 	Route    string    `json:"route"`
-	Target   duration  `json:"target"`   // until when the first event is of full use
-	MaxPause duration  `json:"pause"`    // between events, of full use
-	Waited   duration  `json:"waited"`   // the caller, before this request
-	Upstream string    `json:"upstream"` // a replica
-	Queued   duration  `json:"queued"`   // in the gate, before the attempt
-	Resume   bool      `json:"resume"`   // the attempt goes on where the last one was
+	Target   duration  `json:"target"`   // target for the time until the first event
+	MaxPause duration  `json:"pause"`    // target for the time between two events
+	Waited   duration  `json:"waited"`   // how long the caller had tried before this request
+	Upstream string    `json:"upstream"` // the replica
+	Queued   duration  `json:"queued"`   // time in the gate's queue before the attempt
+	Resume   bool      `json:"resume"`   // the attempt resumes where the previous one ended
 	Reason   string    `json:"reason"`
 	After    duration  `json:"after"`
-	Status   int       `json:"status"` // of an answer
-	First    duration  `json:"first"`  // from the request to the first event; 0: it was no stream
+	Status   int       `json:"status"` // HTTP status of the answer
+	First    duration  `json:"first"`  // time from the request to the first event; 0 if not a stream
 	Pause    duration  `json:"longest_pause"`
-	Outcome  string    `json:"outcome"` // of an item
-	Late     duration  `json:"late"`    // an item, after its job was due
+	Outcome  string    `json:"outcome"` // outcome of an item
+	Late     duration  `json:"late"`    // by how much an item missed its job's deadline
 }
 
-// maxLineBytes bounds a line; the longest of the product have a few KB.
+// maxLineBytes is the maximum length of a line; slatewayd's longest have a few KB.
 const maxLineBytes = 1 << 20
 
-// LineError is a line that is none of the product's.
+// LineError reports a line that is not a log line of slatewayd.
 type LineError struct {
 	File    string `json:"file"`
 	Number  int    `json:"number"` // from 1
@@ -79,8 +80,9 @@
 
 var errNoMessage = errors.New("it has no time or no message")
 
-// read gives the lines of a file to take, and those that cannot be read to foreign.
-// A last line without its end is one of these: its process was stopped in it.
+// read passes the lines of a file to take, and unreadable lines to foreign. Unreadable
+// lines include an incomplete last line, left by a process that was stopped while
+// writing it.
 func read(name string, from io.Reader, take func(*line), foreign func(LineError)) error {
 	reader := bufio.NewReaderSize(from, maxLineBytes)
 	for number := 1; ; number++ {
--- a/internal/account/plot.go
+++ b/internal/account/plot.go
@@ -16,8 +16,8 @@
 	barWidth   = 3 * vg.Millimeter
 )
 
-// Plot draws the requests that were not served in time by the second in which they
-// came, one colour for each cause, to a file whose name ends in svg, png or pdf.
+// Plot draws the number of requests not served in time per second of arrival, one
+// colour for each cause. The file's extension, svg, png or pdf, selects the format.
 func (r *Report) Plot(path string) error {
 	p := plot.New()
 	p.Title.Text = "requests not served in time"
@@ -25,28 +25,28 @@
 	p.Y.Label.Text = "requests"
 	p.Legend.Top = true
 	p.Legend.Left = true
-	var below *plotter.BarChart
-	for i, cause := range r.losses() {
+	var previous *plotter.BarChart
+	for i, cause := range r.lossCauses() {
 		bars, err := plotter.NewBarChart(r.perSecond(cause), barWidth)
 		if err != nil {
 			return err
 		}
 		bars.Color = plotutil.Color(i)
 		bars.LineStyle.Width = 0
-		if below != nil {
-			bars.StackOn(below)
+		if previous != nil {
+			bars.StackOn(previous)
 		}
-		below = bars
+		previous = bars
 		p.Add(bars)
 		p.Legend.Add(string(cause), bars)
 	}
 	return p.Save(plotWidth, plotHeight, path)
 }
 
-// losses lists the causes, the most frequent first.
-func (r *Report) losses() []Cause {
+// lossCauses returns the causes other than InTime, the most frequent first.
+func (r *Report) lossCauses() []Cause {
 	var causes []Cause
-	for _, row := range r.by(func(row *Row) Row { return Row{Cause: row.Cause} }) {
+	for _, row := range r.groupBy(func(row *Row) Row { return Row{Cause: row.Cause} }) {
 		if row.Cause != InTime {
 			causes = append(causes, row.Cause)
 		}
--- a/internal/account/report.go
+++ b/internal/account/report.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Report is the account of some logs.
+// Report summarizes the logs that a Ledger has read.
 type Report struct {
 	Start   time.Time   `json:"start"`
 	Rows    []Row       `json:"rows"`
 	Seconds []Second    `json:"seconds"`
 	Batch   Batch       `json:"batch"`
-	Unread  int         `json:"unread"`  // lines that are none of the product's
-	Foreign []LineError `json:"foreign"` // the first of these
+	Unread  int         `json:"unread"`  // number of lines that are not log lines of slatewayd
+	Foreign []LineError `json:"foreign"` // the first of them
 }
 
 // Row counts the requests of a route with one cause at one replica.
@@ -25,28 +25,28 @@
 	Route    string        `json:"route,omitempty"`
 	Replica  string        `json:"replica,omitempty"`
 	Requests int           `json:"requests"`
-	Took     time.Duration `json:"took_ns"` // all of them together, by their cause
+	Took     time.Duration `json:"took_ns"` // total time due to the cause
 	Longest  time.Duration `json:"longest_ns"`
 }
 
-// Second counts the requests with one cause that came within one second.
+// Second counts the requests with one cause that arrived within one second.
 type Second struct {
-	Second   int   `json:"second"` // from the first line on
+	Second   int   `json:"second"` // since Report.Start
 	Cause    Cause `json:"cause"`
 	Requests int   `json:"requests"`
 }
 
-// Batch is the account of batch items.
+// Batch holds the counters of batch items and their runs.
 type Batch struct {
 	Items         int           `json:"items"` // with a result
 	Late          int           `json:"late"`
 	Unfinished    int           `json:"unfinished"` // without a result in these logs
 	Runs          int           `json:"runs"`       // of the items with a result
 	SeveralRuns   int           `json:"several_runs"`
-	Anew          int           `json:"anew"`    // runs that began at the start again
+	Restarts      int           `json:"anew"`    // runs that restarted an item from the beginning
 	Stopped       int           `json:"stopped"` // runs stopped by a gate
 	Failed        int           `json:"failed"`
-	MedianStopped time.Duration `json:"median_stopped_ns"` // length of a stopped run
+	MedianStopped time.Duration `json:"median_stopped_ns"` // median length of a stopped run
 
 	lengths []time.Duration
 }
@@ -62,7 +62,7 @@
 	return cmp.Or(cmp.Compare(a.Second, b.Second), cmp.Compare(a.Cause, b.Cause))
 }
 
-// Requests counts all requests, and those that were served in time.
+// Requests returns the number of all requests and of those served in time.
 func (r *Report) Requests() (all, inTime int) {
 	for _, row := range r.Rows {
 		all += row.Requests
@@ -73,8 +73,8 @@
 	return all, inTime
 }
 
-// by joins the rows that have the same key.
-func (r *Report) by(key func(*Row) Row) []Row {
+// groupBy sums up the rows with the same key.
+func (r *Report) groupBy(key func(*Row) Row) []Row {
 	joined := map[Row]*Row{}
 	for i := range r.Rows {
 		row := &r.Rows[i]
@@ -96,15 +96,15 @@
 	return rows
 }
 
-// mostReplicas bounds the replicas that are listed.
-const mostReplicas = 12
+// maxListedReplicas is the maximum number of replicas that are listed.
+const maxListedReplicas = 12
 
-// Write prints the account as tables.
+// Write prints the report as tables.
 func (r *Report) Write(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	all, inTime := r.Requests()
 	fmt.Fprintf(table, "%d requests, %d in time\n", all, inTime)
-	byRoute := r.by(func(row *Row) Row { return Row{Cause: row.Cause, Route: row.Route} })
+	byRoute := r.groupBy(func(row *Row) Row { return Row{Cause: row.Cause, Route: row.Route} })
 	writeRows(table, "ROUTE", byRoute, func(row *Row) string { return row.Route })
 	writeRows(table, "REPLICA", r.byReplica(), func(row *Row) string { return row.Replica })
 	r.Batch.write(table)
@@ -112,11 +112,12 @@
 	return table.Flush()
 }
 
-// byReplica joins the rows that name a replica, the most frequent first.
+// byReplica sums up the rows with a replica by cause and replica, the most frequent
+// first.
 func (r *Report) byReplica() []Row {
-	rows := r.by(func(row *Row) Row { return Row{Cause: row.Cause, Replica: row.Replica} })
+	rows := r.groupBy(func(row *Row) Row { return Row{Cause: row.Cause, Replica: row.Replica} })
 	rows = slices.DeleteFunc(rows, func(row Row) bool { return row.Replica == "" })
-	return rows[:min(len(rows), mostReplicas)]
+	return rows[:min(len(rows), maxListedReplicas)]
 }
 
 func writeRows(table io.Writer, heading string, rows []Row, name func(*Row) string) {
@@ -128,8 +129,8 @@
 }
 
 func (b *Batch) write(table io.Writer) {
-	fmt.Fprint(table, "\nBATCH ITEMS\tLATE\tUNFINISHED\tRUNS\tOF SEVERAL RUNS\tANEW\tRUNS STOPPED\tMEDIAN LENGTH\tRUNS FAILED\n")
-	fmt.Fprintf(table, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%d\n", b.Items, b.Late, b.Unfinished, b.Runs, b.SeveralRuns, b.Anew,
+	fmt.Fprint(table, "\nBATCH ITEMS\tLATE\tUNFINISHED\tRUNS\tWITH SEVERAL RUNS\tRUNS RESTARTED\tRUNS STOPPED\tMEDIAN LENGTH\tRUNS FAILED\n")
+	fmt.Fprintf(table, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%d\n", b.Items, b.Late, b.Unfinished, b.Runs, b.SeveralRuns, b.Restarts,
 		b.Stopped, round(b.MedianStopped), b.Failed)
 }
 
@@ -137,7 +138,7 @@
 	if r.Unread == 0 {
 		return
 	}
-	fmt.Fprintf(table, "\n%d lines not read:\n", r.Unread)
+	fmt.Fprintf(table, "\n%d unreadable lines:\n", r.Unread)
 	for _, line := range r.Foreign {
 		fmt.Fprintln(table, line.Error())
 	}
