--- a/internal/apierr/http.go
+++ b/internal/apierr/http.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Body is the JSON body of an error answer: the shape that OpenAI clients read,
-// with the project's fields beside it.
+// Body is the JSON body of an error response: the format of the OpenAI API with
+// additional fields.
 type Body struct {
 	Error BodyError `json:"error"`
 }
@@ -18,14 +18,14 @@
 type BodyError struct {
 	Message      string `json:"message"`
 	Type         string `json:"type"` // the kind
-	Code         Reason `json:"code"` // the reason, where OpenAI clients look
+	Code         Reason `json:"code"` // the reason, in the field that OpenAI clients read
 	Reason       Reason `json:"reason"`
 	Ran          Ran    `json:"ran"`
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 	Remedy       string `json:"remedy,omitempty"`
 }
 
-// BodyOf gives the body of the error answer.
+// BodyOf returns the body of the error response for e.
 func BodyOf(e *Error) Body {
 	return Body{Error: BodyError{
 		Message:      e.Message,
@@ -38,17 +38,16 @@
 	}}
 }
 
-// JSON gives the encoded body of the error answer.
+// JSON returns the encoded body of the error response.
 func (e *Error) JSON() []byte {
 	data, err := json.Marshal(BodyOf(e))
 	if err != nil {
-		panic(err) // strings and a number always encode
+		panic(err) // cannot happen: strings and a number can always be encoded
 	}
 	return data
 }
 
-// SetRetryAfter sets the Retry-After header, in whole seconds, if asking again
-// may help.
+// SetRetryAfter sets the Retry-After header, in whole seconds, if a retry may help.
 func SetRetryAfter(header http.Header, e *Error) {
 	if e.RetryAfter <= 0 {
 		return
@@ -57,8 +56,8 @@
 	header.Set("Retry-After", strconv.Itoa(int(seconds)))
 }
 
-// WriteHTTP answers a request with the error: status by kind, a Retry-After
-// header in whole seconds if asking again may help, and the JSON body.
+// WriteHTTP writes err as an HTTP response: the status of its kind, a Retry-After
+// header if a retry may help, and the JSON body.
 func WriteHTTP(w http.ResponseWriter, err error) {
 	known := From(err)
 	w.Header().Set("Content-Type", "application/json")
@@ -67,8 +66,8 @@
 	_, _ = w.Write(known.JSON())
 }
 
-// ParseHTTP rebuilds an Error from the body of an error answer; nil
-// when the body is not one.
+// ParseHTTP decodes the body of an error response. It returns nil if data is not such
+// a body.
 func ParseHTTP(data []byte) *Error {
 	var body Body
 	if json.Unmarshal(data, &body) != nil || body.Error.Reason == "" {
--- a/internal/apierr/reasons.go
+++ b/internal/apierr/reasons.go
@@ -1,6 +1,7 @@
 package apierr
 
-// Reasons of refusals that both online requests and the described APIs give.
+// Reasons for refusing requests that are shared by online requests and the APIs
+// described in package design.
 const (
 	ReasonMalformed    Reason = "malformed_request"
 	ReasonBodyTooLarge Reason = "body_too_large"
--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,8 +1,8 @@
-// Package codec encodes the project's own records: log entries, snapshots and
-// the messages between its processes.
+// Package codec encodes slateway's internal records: log entries, snapshots and the
+// messages between its processes.
 //
-// All of them are CBOR (RFC 8949) in the deterministic core encoding, so equal
-// values have equal bytes on every replica and a checksum can compare them.
+// The format is CBOR (RFC 8949) in its core deterministic encoding. Equal values have
+// equal bytes on every replica, so that replicas can be compared by checksum.
 package codec
 
 import (
@@ -11,11 +11,11 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// maxElements bounds arrays and maps in a decoded record. It is above the
-// largest part of a batch job and far below what would exhaust memory.
+// maxElements limits the size of arrays and maps in a decoded record. It is larger
+// than the largest part of a batch job and far smaller than what would exhaust memory.
 const maxElements = 1 << 20
 
-// maxNesting bounds the depth of a decoded record; the deepest of ours is 9.
+// maxNesting limits the nesting depth of a decoded record; the deepest one is 9.
 const maxNesting = 32
 
 var (
@@ -56,8 +56,8 @@
 	return data, nil
 }
 
-// MustMarshal encodes a value of one of the project's own types, which always
-// encode. A failure is a defect of the program and panics.
+// MustMarshal encodes a value of a type that can always be encoded. It panics on an
+// error, which would be a bug.
 func MustMarshal(v any) []byte {
 	data, err := Marshal(v)
 	if err != nil {
@@ -66,8 +66,8 @@
 	return data
 }
 
-// Unmarshal decodes data into v. Unknown fields are ignored, so that an older
-// process reads the records of a newer one.
+// Unmarshal decodes data into v. Unknown fields are ignored, so that an older process
+// can read the records of a newer one.
 func Unmarshal(data []byte, v any) error {
 	if err := decMode.Unmarshal(data, v); err != nil {
 		return fmt.Errorf("decode %T: %w", v, err)
--- a/internal/codec/pack.go
+++ b/internal/codec/pack.go
@@ -7,7 +7,7 @@
 	"io"
 )
 
-// Pack encodes v and compresses it, for values that are made once and sent to many.
+// Pack encodes and compresses v, for values that are encoded once and sent to many.
 func Pack(v any) ([]byte, error) {
 	data, err := Marshal(v)
 	if err != nil {
@@ -32,8 +32,8 @@
 	return packed.Bytes(), nil
 }
 
-// Unpack decodes into v what Pack has made of a value of at most maxBytes when
-// encoded.
+// Unpack decompresses and decodes the output of Pack into v. It returns an error if
+// the decompressed data is larger than maxBytes.
 func Unpack(packed []byte, maxBytes int64, v any) error {
 	reader, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
@@ -44,7 +44,7 @@
 		return fmt.Errorf("unpack %T: %w", v, err)
 	}
 	if int64(len(data)) > maxBytes {
-		return fmt.Errorf("unpack %T: it is over %d bytes", v, maxBytes)
+		return fmt.Errorf("unpack %T: decompressed size exceeds %d bytes", v, maxBytes)
 	}
 	return Unmarshal(data, v)
 }
--- a/internal/codec/pack_test.go
+++ b/internal/codec/pack_test.go
@@ -7,7 +7,7 @@
 	"slateway.example/slateway/internal/codec"
 )
 
-// Guards against a packed value that is taken though it would not fit into memory.
+// A compressed value that would not fit into memory must be rejected.
 func TestUnpackRefusesWhatIsTooLarge(t *testing.T) {
 	value := strings.Repeat("a", 100_000)
 	packed, err := codec.Pack(value)
@@ -19,9 +19,9 @@
 		t.Errorf("got %d bytes, %v", len(got), err)
 	}
 	if err := codec.Unpack(packed, 50_000, &got); err == nil {
-		t.Error("taken over its bound")
+		t.Error("a value over the limit was accepted")
 	}
 	if err := codec.Unpack([]byte("x"), 50_000, &got); err == nil {
-		t.Error("garbage is taken")
+		t.Error("invalid data was accepted")
 	}
 }
--- a/internal/daemon/descriptors.go
+++ b/internal/daemon/descriptors.go
@@ -92,5 +92,5 @@
 func (s *Site) limitConnections(key string, listener net.Listener) net.Listener {
 	limit := connectionLimit(key, descriptorLimit(s.settings.Limits.Descriptors))
 	r := &connectionRefuser{site: s, key: key}
-	return sockets.NewBound(listener, limit, r.refuse)
+	return sockets.NewLimitedListener(listener, limit, r.refuse)
 }
--- a/internal/daemon/dial.go
+++ b/internal/daemon/dial.go
@@ -65,7 +65,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
-	return sockets.DialAgain(ctx, peerRedialDelay, func(ctx context.Context) (net.Conn, error) {
+	return sockets.DialHedged(ctx, peerRedialDelay, func(ctx context.Context) (net.Conn, error) {
 		return d.DialContext(ctx, network, address)
 	})
 }
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -1,5 +1,5 @@
-// Package rpc carries typed messages between the project's processes: connect
-// unary calls whose bodies the project's codec encodes.
+// Package rpc provides typed calls between slateway processes: unary Connect calls
+// whose bodies are encoded by package codec.
 package rpc
 
 import (
@@ -16,11 +16,11 @@
 	"slateway.example/slateway/internal/codec"
 )
 
-// codecName is the content subtype of calls: application/cbor.
+// codecName is the subtype of the calls' content type, application/cbor.
 const codecName = "cbor"
 
-// reasonHeader and its siblings carry an apierr.Error in connect's error
-// metadata, so that the calling side rebuilds the same typed error.
+// Headers that carry the fields of an apierr.Error in Connect's error metadata, from
+// which the client restores the same typed error.
 const (
 	kindHeader   = "Slateway-Kind"
 	reasonHeader = "Slateway-Reason"
@@ -35,16 +35,18 @@
 func (cborCodec) Marshal(v any) ([]byte, error)      { return codec.Marshal(v) }
 func (cborCodec) Unmarshal(data []byte, v any) error { return codec.Unmarshal(data, v) }
 
-// Procedure names a call and fixes the types of its request and response.
+// Procedure is the name of a call together with the types of its request and
+// response.
 type Procedure[Req, Res any] string
 
-// Handle mounts fn on mux. Bodies over maxBytes are refused before decoding.
+// Handle registers fn on mux as the handler of p. Request bodies over maxBytes are
+// rejected before decoding.
 func Handle[Req, Res any](mux *http.ServeMux, p Procedure[Req, Res], maxBytes int, fn func(context.Context, *Req) (*Res, error)) {
 	handle(mux, p, maxBytes, compressMinBytes, fn)
 }
 
-// HandlePacked mounts fn on mux as Handle does. Its responses are not compressed:
-// what is large in them is packed already, once for all callers.
+// HandleUncompressed is like Handle but does not compress the responses. It is for
+// responses whose large fields are already compressed, once for all callers.
 func HandlePacked[Req, Res any](mux *http.ServeMux, p Procedure[Req, Res], maxBytes int, fn func(context.Context, *Req) (*Res, error)) {
 	handle(mux, p, maxBytes, math.MaxInt, fn)
 }
@@ -62,20 +64,20 @@
 	mux.Handle(string(p), handler)
 }
 
-// compressMinBytes is the smallest body worth compressing: below it gzip's
-// processor time costs more than the bytes it saves.
+// compressMinBytes is the smallest body that is compressed: for smaller ones the CPU
+// time of gzip costs more than the saved bytes.
 const compressMinBytes = 4096
 
-// Client calls the processes of one HTTP client.
+// Client sends calls to other processes.
 type Client struct {
 	http connect.HTTPClient
 }
 
-// NewClient makes a Client that sends its calls through httpClient.
+// NewClient returns a Client that sends its calls through httpClient.
 func NewClient(httpClient connect.HTTPClient) *Client { return &Client{http: httpClient} }
 
-// Call sends request to the process that listens at address (IP and port) and
-// waits for its response. An *apierr.Error of the far side comes back as one.
+// Call sends request to the process at address (IP:port) and returns its response. An
+// *apierr.Error returned by the remote handler is returned as such.
 func Call[Req, Res any](ctx context.Context, c *Client, address string, p Procedure[Req, Res], request *Req) (*Res, error) {
 	client := connect.NewClient[Req, Res](c.http, "http://"+address+string(p), connect.WithCodec(cborCodec{}))
 	response, err := client.CallUnary(ctx, connect.NewRequest(request))
--- a/internal/sockets/again.go
+++ b/internal/sockets/again.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// DialAgain opens a connection with dial, which is called again after gap, twice
-// gap and so on until one has come; the first wins and the others are closed. An
-// error other than the end of ctx ends it. The gap doubles so that a VM which is
-// slow to accept is not asked for more and more connections by all that call it.
+// DialHedged opens a connection with dial. While no attempt has finished, it starts
+// another one in parallel after delay, then after twice the delay, and so on. It
+// returns the result of the first attempt that finishes, whether a connection or an
+// error, and closes later connections. The delay doubles so that a VM which is slow to
+// accept is not flooded with connections by all of its clients.
 //
-// Failure guarded against: the packet that opens a connection is lost, or comes to
-// a VM that has no power yet. It is sent again only after a second, which is longer
-// than the calls between processes may take, though the other side is there by then.
-func DialAgain(ctx context.Context, gap time.Duration, dial func(context.Context) (net.Conn, error)) (net.Conn, error) {
+// The system retransmits a lost SYN packet, or one sent to a VM that was still
+// starting, only after a second. That is longer than calls between processes may take.
+func DialHedged(ctx context.Context, delay time.Duration, dial func(context.Context) (net.Conn, error)) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	results := make(chan dialResult)
-	timer := time.NewTimer(gap)
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	go tryDial(ctx, dial, results)
 	for {
@@ -26,11 +26,11 @@
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-timer.C:
-			gap *= 2
-			timer.Reset(gap)
+			delay *= 2
+			timer.Reset(delay)
 			go tryDial(ctx, dial, results)
-		case found := <-results:
-			return found.connection, found.err
+		case result := <-results:
+			return result.connection, result.err
 		}
 	}
 }
@@ -40,14 +40,15 @@
 	err        error
 }
 
-// tryDial hands its connection on, or closes it when nobody wants it any more.
+// tryDial sends the result of one attempt to results. If ctx ends first, it closes the
+// connection.
 func tryDial(ctx context.Context, dial func(context.Context) (net.Conn, error), results chan<- dialResult) {
 	connection, err := dial(ctx)
 	select {
 	case results <- dialResult{connection, err}:
 	case <-ctx.Done():
 		if connection != nil {
-			_ = connection.Close() // nothing was sent
+			_ = connection.Close() // the error does not matter: nothing was sent
 		}
 	}
 }
--- a/internal/sockets/again_test.go
+++ b/internal/sockets/again_test.go
@@ -11,25 +11,26 @@
 	"slateway.example/slateway/internal/sockets"
 )
 
-const gap = 20 * time.Millisecond
+const delay = 20 * time.Millisecond
 
-// A VM starts. The packet that asked it for a connection came just before that, and
-// is sent again only after a second; another connection comes at once.
+// The first attempts get no answer, as when a SYN packet reaches a VM just before it
+// has started and is retransmitted only after a second. A later attempt must succeed
+// sooner.
 func TestDialAgainBeginsAnotherConnection(t *testing.T) {
 	var tries atomic.Int32
-	near, far := net.Pipe()
-	defer far.Close()
+	local, remote := net.Pipe()
+	defer remote.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	start := time.Now()
-	got, err := sockets.DialAgain(ctx, gap, func(ctx context.Context) (net.Conn, error) {
+	got, err := sockets.DialHedged(ctx, delay, func(ctx context.Context) (net.Conn, error) {
 		if tries.Add(1) < 3 {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		return near, nil
+		return local, nil
 	})
-	if err != nil || got != near {
+	if err != nil || got != local {
 		t.Fatalf("got %v, %v", got, err)
 	}
 	if took := time.Since(start); took > time.Second {
@@ -40,15 +41,15 @@
 func TestDialAgainEnds(t *testing.T) {
 	t.Run("with an error of the other side", func(t *testing.T) {
 		refused := errors.New("refused")
-		_, err := sockets.DialAgain(context.Background(), gap, func(context.Context) (net.Conn, error) { return nil, refused })
+		_, err := sockets.DialHedged(context.Background(), delay, func(context.Context) (net.Conn, error) { return nil, refused })
 		if !errors.Is(err, refused) {
 			t.Errorf("got %v", err)
 		}
 	})
 	t.Run("with its context", func(t *testing.T) {
-		ctx, cancel := context.WithTimeout(context.Background(), 3*gap)
+		ctx, cancel := context.WithTimeout(context.Background(), 3*delay)
 		defer cancel()
-		_, err := sockets.DialAgain(ctx, gap, func(ctx context.Context) (net.Conn, error) {
+		_, err := sockets.DialHedged(ctx, delay, func(ctx context.Context) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		})
@@ -58,7 +59,7 @@
 	})
 }
 
-// closable notes that it was closed.
+// closable records that it was closed.
 type closable struct {
 	net.Conn
 	closed chan struct{}
@@ -69,15 +70,16 @@
 	return nil
 }
 
-// A connection that comes after another one has won would stay open for good.
+// A connection that is opened after another attempt has succeeded must be closed.
+// Otherwise it would stay open forever.
 func TestDialAgainClosesTheOthers(t *testing.T) {
 	var tries atomic.Int32
-	late := &closable{closed: make(chan struct{})}
+	slow := &closable{closed: make(chan struct{})}
 	won := &closable{closed: make(chan struct{})}
-	got, err := sockets.DialAgain(context.Background(), gap, func(context.Context) (net.Conn, error) {
+	got, err := sockets.DialHedged(context.Background(), delay, func(context.Context) (net.Conn, error) {
 		if tries.Add(1) == 1 {
-			time.Sleep(4 * gap)
-			return late, nil
+			time.Sleep(4 * delay)
+			return slow, nil
 		}
 		return won, nil
 	})
@@ -85,8 +87,8 @@
 		t.Fatalf("got %v, %v", got, err)
 	}
 	select {
-	case <-late.closed:
+	case <-slow.closed:
 	case <-time.After(5 * time.Second):
-		t.Error("the late connection stays open")
+		t.Error("the slow connection is still open")
 	}
 }
--- a/internal/sockets/bound.go
+++ b/internal/sockets/bound.go
@@ -5,45 +5,46 @@
 	"sync"
 )
 
-// Bound is a listener with at most Limit connections open at the same time. A
-// further one is handed to Refuse, which closes it.
+// LimitedListener is a listener that limits the number of open connections. Further
+// connections are passed to a function that refuses and closes them.
 //
-// A process without descriptors cannot open files, nor reach others: a listener
-// that takes all of them stops what has nothing to do with its clients.
-type Bound struct {
+// Without the limit, a listener could use up the file descriptors of the process,
+// which then could neither open files nor connect to other processes.
+type LimitedListener struct {
 	net.Listener
 	slots  chan struct{}
 	refuse func(net.Conn)
 }
 
-// NewBound bounds a listener. Refuse must not block.
-func NewBound(listener net.Listener, limit int, refuse func(net.Conn)) *Bound {
-	return &Bound{Listener: listener, slots: make(chan struct{}, limit), refuse: refuse}
+// NewLimitedListener returns a listener that accepts up to limit connections at a time from
+// listener, and passes further ones to refuse, which must close them and not block.
+func NewLimitedListener(listener net.Listener, limit int, refuse func(net.Conn)) *LimitedListener {
+	return &LimitedListener{Listener: listener, slots: make(chan struct{}, limit), refuse: refuse}
 }
 
-// Accept gives the next connection within the bound.
-func (b *Bound) Accept() (net.Conn, error) {
+// Accept returns the next connection within the limit.
+func (l *LimitedListener) Accept() (net.Conn, error) {
 	for {
-		connection, err := b.Listener.Accept()
+		connection, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
 		select {
-		case b.slots <- struct{}{}:
-			return &boundConn{Conn: connection, release: sync.OnceFunc(func() { <-b.slots })}, nil
+		case l.slots <- struct{}{}:
+			return &limitedConn{Conn: connection, release: sync.OnceFunc(func() { <-l.slots })}, nil
 		default:
-			b.refuse(connection)
+			l.refuse(connection)
 		}
 	}
 }
 
-// boundConn gives its place back when it is closed.
-type boundConn struct {
+// limitedConn frees its slot in the limit when it is closed.
+type limitedConn struct {
 	net.Conn
 	release func()
 }
 
-func (c *boundConn) Close() error {
+func (c *limitedConn) Close() error {
 	defer c.release()
 	return c.Conn.Close()
 }
--- a/internal/sockets/bound_test.go
+++ b/internal/sockets/bound_test.go
@@ -9,21 +9,21 @@
 	"slateway.example/slateway/internal/sockets"
 )
 
-// Guards against a listener that takes all descriptors of its process.
+// A listener must not use up the file descriptors of its process.
 func TestABoundListenerRefusesOnceFullAndTakesAgain(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	bound := sockets.NewBound(inner, 2, func(c net.Conn) {
+	limited := sockets.NewLimitedListener(inner, 2, func(c net.Conn) {
 		_, _ = io.WriteString(c, "full")
 		_ = c.Close()
 	})
-	defer bound.Close()
+	defer limited.Close()
 	accepted := make(chan net.Conn, 8)
 	go func() {
 		for {
-			c, err := bound.Accept()
+			c, err := limited.Accept()
 			if err != nil {
 				return
 			}
@@ -54,6 +54,6 @@
 	select {
 	case <-accepted:
 	case <-time.After(5 * time.Second):
-		t.Error("a place that was given back is not used again")
+		t.Error("the slot of a closed connection is not reused")
 	}
 }
