--- a/internal/api/config.go
+++ b/internal/api/config.go
@@ -9,7 +9,7 @@
 	"slateway.example/slateway/internal/team"
 )
 
-// configService is the API of templates, teams and changes.
+// configService implements the API for templates, teams and changes.
 type configService struct{ *Server }
 
 // PutTemplate creates or replaces a template.
@@ -34,7 +34,7 @@
 	return &config.ChangeResult{Revision: outcome.Revision, ChangeID: change.ID}, nil
 }
 
-// ListTemplates lists the templates.
+// ListTemplates returns all templates.
 func (s *configService) ListTemplates(ctx context.Context) ([]*config.Template, error) {
 	templates, err := s.options.Keepers.ListTemplates(ctx)
 	if err != nil {
@@ -47,7 +47,7 @@
 	return results, nil
 }
 
-// ShowTemplate reads one template.
+// ShowTemplate returns one template.
 func (s *configService) ShowTemplate(ctx context.Context, payload *config.ShowTemplatePayload) (*config.Template, error) {
 	template, err := s.options.Keepers.GetTemplate(ctx, payload.Name)
 	if err != nil {
@@ -91,7 +91,7 @@
 	})
 }
 
-// ListTeams lists the teams.
+// ListTeams returns all teams.
 func (s *configService) ListTeams(ctx context.Context) ([]*config.Team, error) {
 	teams, err := s.options.Keepers.ListTeams(ctx)
 	if err != nil {
@@ -104,7 +104,7 @@
 	return results, nil
 }
 
-// ShowTeam reads one team.
+// ShowTeam returns one team.
 func (s *configService) ShowTeam(ctx context.Context, payload *config.ShowTeamPayload) (*config.Team, error) {
 	found, err := s.options.Keepers.GetTeam(ctx, payload.Name)
 	if err != nil {
@@ -126,7 +126,7 @@
 	}
 }
 
-// ChangeStatus tells whether a revision is in force on every live gate.
+// ChangeStatus reports whether a revision is in force on every live gate.
 func (s *configService) ChangeStatus(ctx context.Context, payload *config.ChangeStatusPayload) (*config.ChangeStatusResult, error) {
 	progress, err := s.options.Keepers.ChangeStatus(ctx, payload.Revision, 0)
 	if err != nil {
--- a/internal/api/errors.go
+++ b/internal/api/errors.go
@@ -13,27 +13,27 @@
 
 type headerKey struct{}
 
-// withResponseHeader lets the error formatter reach the response's headers:
-// goa passes it only the context.
+// withResponseHeader stores the response headers in the context, which is all that
+// goa passes to the error formatter.
 func withResponseHeader(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), headerKey{}, w.Header())))
 	})
 }
 
-// errorResponse is an apierr.Error on its way through goa's encoder.
+// errorResponse is an apierr.Error in the form that goa's encoder needs.
 type errorResponse struct {
 	apierr.Body
 	status int
 }
 
-// StatusCode gives the HTTP status of the error.
+// StatusCode returns the HTTP status of the error.
 func (e *errorResponse) StatusCode() int { return e.status }
 
-// formatError makes the body of every error that a goa method returns and
-// counts its reason.
+// formatError returns the response for an error returned by a goa method, and counts
+// the error's reason.
 func (s *Server) formatError(ctx context.Context, err error) goahttp.Statuser {
-	known := asError(err)
+	known := toError(err)
 	s.metrics.Refused(known.Reason)
 	if header, ok := ctx.Value(headerKey{}).(http.Header); ok {
 		apierr.SetRetryAfter(header, known)
@@ -41,8 +41,9 @@
 	return &errorResponse{Body: apierr.BodyOf(known), status: known.Kind.HTTPStatus()}
 }
 
-// asError turns goa's own validation and decoding errors into refusals.
-func asError(err error) *apierr.Error {
+// toError converts an error to an apierr.Error. The validation and decoding errors of
+// goa become refusals.
+func toError(err error) *apierr.Error {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return apierr.New(apierr.TooLarge, apierr.ReasonBodyTooLarge,
@@ -51,7 +52,7 @@
 	}
 	var service *goa.ServiceError
 	if errors.As(err, &service) {
-		return apierr.New(apierr.Invalid, apierr.ReasonMalformed, "correct the request as the message says", "%s", service.Message)
+		return apierr.New(apierr.Invalid, apierr.ReasonMalformed, "correct the request according to the message", "%s", service.Message)
 	}
 	return apierr.From(err)
 }
--- a/internal/api/fleet.go
+++ b/internal/api/fleet.go
@@ -8,19 +8,20 @@
 	"slateway.example/slateway/internal/directory"
 )
 
-// Fleet is what the APIs need to know of the VMs.
+// Fleet provides the queries and operations of the APIs on the fleet's VMs.
 type Fleet interface {
-	// Entries gives the gates for a caller in place, which may be empty.
+	// Entries returns the gates for a caller in place, which may be empty.
 	Entries(place string) (directory.Answer, error)
-	// Members lists the VMs with the state of the groups that keepers hold.
+	// Members returns the VMs, with the state of the replicated groups on keepers.
 	Members(ctx context.Context) []*members.Member
-	// Replace puts the blank disk of vm in the place of the one it lost.
+	// Replace replaces the group member on vm, whose disk was lost, by a new member
+	// on that VM's blank disk.
 	Replace(ctx context.Context, vm string) error
 }
 
 type entriesService struct{ *Server }
 
-// Get tells a caller which gates to use.
+// Get returns the gates that the caller should use.
 func (s *entriesService) Get(_ context.Context, payload *entries.GetPayload) (*entries.GetResult, error) {
 	answer, err := s.options.Fleet.Entries(valueOf(payload.Place))
 	if err != nil {
@@ -39,12 +40,12 @@
 
 type membersService struct{ *Server }
 
-// List lists the VMs.
+// List returns the VMs of the fleet.
 func (s *membersService) List(ctx context.Context) ([]*members.Member, error) {
 	return s.options.Fleet.Members(ctx), nil
 }
 
-// Replace puts a blank disk in the place of a lost one.
+// Replace replaces the group member of a VM whose disk was lost.
 func (s *membersService) Replace(ctx context.Context, payload *members.ReplacePayload) error {
 	return s.options.Fleet.Replace(ctx, payload.VM)
 }
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -16,12 +16,13 @@
 	"slateway.example/slateway/internal/team"
 )
 
-// jobsService is the jobs API of one team's caller.
+// jobsService implements the jobs API. Callers see the jobs of their own team only.
 type jobsService struct{ *Server }
 
 type policyKey struct{}
 
-// APIKeyAuth finds the team of the bearer token.
+// APIKeyAuth authenticates the bearer token and stores the team's policy in the
+// context.
 func (s *jobsService) APIKeyAuth(ctx context.Context, token string, _ *security.APIKeyScheme) (context.Context, error) {
 	policy, err := s.options.Teams.Authenticate(token)
 	if err != nil {
@@ -35,7 +36,7 @@
 	return policy
 }
 
-// Create makes a job or finds the one with the same key.
+// Create creates a job, or returns the team's job with the same key.
 func (s *jobsService) Create(ctx context.Context, payload *jobs.CreatePayload) (*jobs.JobStatus, error) {
 	policy := policyOf(ctx)
 	queue, err := queueOf(policy, valueOf(payload.Service))
@@ -67,8 +68,8 @@
 	return *text
 }
 
-// queueOf finds the model or plain service that the caller named; without a
-// name it is the team's first model.
+// queueOf returns the queue of the model or service with the given name, or of the
+// team's first model if name is empty.
 func queueOf(policy *team.Policy, name string) (job.Queue, error) {
 	if name == "" && len(policy.Models) > 0 {
 		name = policy.Models[0].Name
@@ -80,7 +81,7 @@
 		return job.Queue{Service: name}, nil
 	}
 	return job.Queue{}, apierr.New(apierr.NotFound, apierr.ReasonUnknownModel,
-		"name a model or service of the team's template", "team %s has no model or service %q", policy.Team, name)
+		"use a model or service of the team's template", "team %s has no model or service %q", policy.Team, name)
 }
 
 func parseDeadline(text string, now time.Time) (instant.Micros, error) {
@@ -93,14 +94,14 @@
 			"write it as RFC 3339, such as 2026-01-31T06:00:00Z", "the deadline %q is not a time", text)
 	}
 	if !deadline.After(now) {
-		return 0, apierr.New(apierr.Invalid, apierr.ReasonPastDeadline, "name a time to come", "the deadline %s has passed", text)
+		return 0, apierr.New(apierr.Invalid, apierr.ReasonPastDeadline, "set a deadline in the future", "the deadline %s has passed", text)
 	}
 	return instant.Of(deadline), nil
 }
 
-// owned gives the status of a job if it is the caller's; others' jobs look as
-// if they did not exist.
-func (s *jobsService) owned(ctx context.Context, id string) (*job.Status, error) {
+// ownedJob returns the status of a job if it belongs to the caller's team. Jobs of other
+// teams are reported as not found.
+func (s *jobsService) ownedJob(ctx context.Context, id string) (*job.Status, error) {
 	status, err := s.options.Keepers.JobStatus(ctx, job.ID(id))
 	if err != nil {
 		return nil, err
@@ -111,7 +112,7 @@
 	return status, nil
 }
 
-// List lists the team's jobs.
+// List returns the team's jobs.
 func (s *jobsService) List(ctx context.Context, _ *jobs.ListPayload) ([]*jobs.JobStatus, error) {
 	statuses, err := s.options.Keepers.ListJobs(ctx, policyOf(ctx).Team)
 	if err != nil {
@@ -127,7 +128,7 @@
 // AddPart stores one part of an open job.
 func (s *jobsService) AddPart(ctx context.Context, payload *jobs.AddPartPayload, body io.ReadCloser) (*jobs.AddPartResult, error) {
 	defer body.Close()
-	if _, err := s.owned(ctx, payload.ID); err != nil {
+	if _, err := s.ownedJob(ctx, payload.ID); err != nil {
 		return nil, err
 	}
 	items, err := parseItems(body, s.options.Limits)
@@ -140,33 +141,33 @@
 	return &jobs.AddPartResult{Items: len(items)}, nil
 }
 
-// Seal ends the upload.
+// Seal ends the upload of a job's parts.
 func (s *jobsService) Seal(ctx context.Context, payload *jobs.SealPayload) (*jobs.JobStatus, error) {
-	if _, err := s.owned(ctx, payload.ID); err != nil {
+	if _, err := s.ownedJob(ctx, payload.ID); err != nil {
 		return nil, err
 	}
 	status, err := s.options.Keepers.SealJob(ctx, job.ID(payload.ID), payload.Parts)
 	return statusResult(status, err)
 }
 
-// Status reads a job.
+// Status returns the status of a job.
 func (s *jobsService) Status(ctx context.Context, payload *jobs.StatusPayload) (*jobs.JobStatus, error) {
-	status, err := s.owned(ctx, payload.ID)
+	status, err := s.ownedJob(ctx, payload.ID)
 	return statusResult(status, err)
 }
 
-// Cancel ends a job for good.
+// Cancel ends a job permanently.
 func (s *jobsService) Cancel(ctx context.Context, payload *jobs.CancelPayload) (*jobs.JobStatus, error) {
-	if _, err := s.owned(ctx, payload.ID); err != nil {
+	if _, err := s.ownedJob(ctx, payload.ID); err != nil {
 		return nil, err
 	}
 	status, err := s.options.Keepers.CancelJob(ctx, job.ID(payload.ID))
 	return statusResult(status, err)
 }
 
-// Results reads results in item order as NDJSON lines.
+// Results returns a page of results as NDJSON lines in the order of the items.
 func (s *jobsService) Results(ctx context.Context, payload *jobs.ResultsPayload) (*jobs.ResultsResult, io.ReadCloser, error) {
-	if _, err := s.owned(ctx, payload.ID); err != nil {
+	if _, err := s.ownedJob(ctx, payload.ID); err != nil {
 		return nil, nil, err
 	}
 	page, err := s.options.Keepers.Results(ctx, job.ID(payload.ID), uint32(payload.From), payload.Limit)
@@ -191,7 +192,7 @@
 	return jobStatus(status), nil
 }
 
-// publicState names the states as callers see them.
+// publicState returns the name of a state in the public API.
 func publicState(state job.State) string {
 	switch state {
 	case job.StateRunning:
@@ -226,7 +227,7 @@
 	return result
 }
 
-// serviceName is the name by which the caller asked for a queue.
+// serviceName returns the name by which a caller selects the queue.
 func serviceName(queue job.Queue) string {
 	if queue.Model != "" {
 		return queue.Model
--- a/internal/api/lines.go
+++ b/internal/api/lines.go
@@ -13,22 +13,22 @@
 	"slateway.example/slateway/internal/job"
 )
 
-// Reasons of refused parts.
+// Reasons for refusing a part.
 const (
 	ReasonBadLine   apierr.Reason = "bad_line"
 	ReasonEmptyPart apierr.Reason = "empty_part"
 )
 
-// itemLine is one line of a part, in the shape of OpenAI batch files.
+// itemLine is one line of a part, in the format of OpenAI batch files.
 type itemLine struct {
 	CustomID string          `json:"custom_id"`
-	Method   string          `json:"method"` // POST, or empty for it
+	Method   string          `json:"method"` // POST or empty
 	URL      string          `json:"url"`
 	Body     json.RawMessage `json:"body"`
 }
 
-// parseItems reads the NDJSON lines of a part. The first broken line refuses
-// the whole part and is named, so that the caller can mend and send it again.
+// parseItems parses the NDJSON lines of a part. If a line is invalid, the whole part
+// is refused with that line's number, so that the caller can correct and resend it.
 func parseItems(body io.Reader, limits Limits) ([]job.Item, error) {
 	lines := bufio.NewScanner(http.MaxBytesReader(nil, io.NopCloser(body), limits.MaxPartBytes))
 	lines.Buffer(make([]byte, 0, 64<<10), limits.MaxItemBytes)
@@ -40,12 +40,12 @@
 		}
 		item, err := parseItem(line)
 		if err != nil {
-			return nil, badLine(number, err)
+			return nil, badLineError(number, err)
 		}
 		items = append(items, item)
 	}
 	if err := lines.Err(); err != nil {
-		return nil, readError(err, len(items)+1, limits)
+		return nil, partReadError(err, len(items)+1, limits)
 	}
 	if len(items) == 0 {
 		return nil, apierr.New(apierr.Invalid, ReasonEmptyPart, "send at least one line", "the part has no items")
@@ -53,18 +53,18 @@
 	return items, nil
 }
 
-func readError(err error, line int, limits Limits) error {
+func partReadError(err error, line int, limits Limits) error {
 	if errors.Is(err, bufio.ErrTooLong) {
 		return apierr.New(apierr.TooLarge, ReasonBadLine,
-			"shorten it or ask the operators to raise limits.max_item_bytes; nothing of the part was accepted",
+			"shorten it or ask the operators to raise limits.max_item_bytes; no item of the part was accepted",
 			"line %d is over the limit of %d bytes", line, limits.MaxItemBytes)
 	}
 	return err
 }
 
-func badLine(number int, err error) error {
+func badLineError(number int, err error) error {
 	return apierr.New(apierr.Invalid, ReasonBadLine,
-		"correct the line and send the part again; nothing of it was accepted", "line %d: %v", number, err)
+		"correct the line and send the part again; none of its items was accepted", "line %d: %v", number, err)
 }
 
 func parseItem(line []byte) (job.Item, error) {
@@ -119,7 +119,7 @@
 	return line
 }
 
-// asJSON gives a body as it is if it is JSON, else as a JSON string.
+// asJSON returns body unchanged if it is valid JSON, else encoded as a JSON string.
 func asJSON(body []byte) json.RawMessage {
 	if json.Valid(body) {
 		return body
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -1,6 +1,6 @@
-// Package api serves the public HTTP APIs that package design describes: jobs,
-// entries and announcements on the callers' listener; templates, teams, changes
-// and members on the operators' listener.
+// Package api serves the public HTTP APIs that are described in package design: jobs,
+// entries and announcements on the callers listener; templates, teams, changes and
+// members on the operators listener.
 package api
 
 import (
@@ -30,13 +30,13 @@
 	Refused(reason apierr.Reason)
 }
 
-// Authenticator finds the policy of the team that owns a bearer token; its
-// error is an *apierr.Error.
+// Authenticator finds the policy of the team that a bearer token belongs to. Its
+// errors are of type *apierr.Error.
 type Authenticator interface {
 	Authenticate(token string) (*team.Policy, error)
 }
 
-// Options are what a Server needs.
+// Options configures a Server.
 type Options struct {
 	Keepers *keeperclient.Client
 	Teams   Authenticator
@@ -48,7 +48,7 @@
 	Limits Limits
 }
 
-// Limits bound what one request may make the daemon hold, in bytes.
+// Limits limits the memory that one request may use, in bytes.
 type Limits struct {
 	MaxBodyBytes int64
 	MaxPartBytes int64
@@ -62,7 +62,7 @@
 	mux     goahttp.Muxer
 }
 
-// NewServer makes a Server without any API mounted.
+// NewServer returns a Server without any API mounted.
 func NewServer(options Options) *Server {
 	return &Server{options: options, metrics: options.Metrics, mux: goahttp.NewMuxer()}
 }
@@ -87,22 +87,23 @@
 	membersserver.New(memberService, s.mux, decoder, encoder, s.writeFailed, s.formatError).Mount(s.mux)
 }
 
-// Handle mounts a handler that goa does not describe.
+// Handle mounts a handler for a route that is not part of the goa design.
 func (s *Server) Handle(method, pattern string, handler http.HandlerFunc) {
 	s.mux.Handle(method, pattern, handler)
 }
 
-// PathValue gives a variable of the pattern that request was matched by.
+// PathValue returns the value of a variable in the pattern that request matched.
 func (s *Server) PathValue(request *http.Request, name string) string {
 	return s.mux.Vars(request)[name]
 }
 
-// Handler gives the handler of all that is mounted.
+// Handler returns the handler for all mounted APIs.
 func (s *Server) Handler() http.Handler {
 	return withResponseHeader(s.limitBody(s.mux))
 }
 
-// limitBody bounds request bodies: a part of a job is the largest that there is.
+// limitBody limits the size of request bodies to the larger one of MaxBodyBytes and
+// MaxPartBytes.
 func (s *Server) limitBody(next http.Handler) http.Handler {
 	limit := max(s.options.Limits.MaxBodyBytes, s.options.Limits.MaxPartBytes)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -111,7 +112,8 @@
 	})
 }
 
-// writeFailed logs an answer that could not be written: its caller has left.
+// writeFailed logs that an answer could not be written, because the caller has
+// disconnected.
 func (s *Server) writeFailed(_ context.Context, _ http.ResponseWriter, err error) {
-	s.options.Log.Debug("answer not written", zap.Error(err))
+	s.options.Log.Debug("the answer could not be written", zap.Error(err))
 }
--- a/internal/api/upstreams.go
+++ b/internal/api/upstreams.go
@@ -9,7 +9,7 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// Router is what the upstreams API needs of the gate's router.
+// Router is the part of the gate's router that the upstreams API uses.
 type Router interface {
 	Announce(a upstream.Announcement) error
 	CacheEvent(service string, e upstream.CacheEvent)
@@ -19,7 +19,7 @@
 
 type upstreamsService struct{ *Server }
 
-// Announce takes in what an upstream says of itself.
+// Announce records the announcement of an upstream.
 func (s *upstreamsService) Announce(_ context.Context, payload *upstreams.Announcement) (*upstreams.AnnounceResult, error) {
 	if err := s.options.Router.Announce(announcement(payload)); err != nil {
 		return nil, err
@@ -63,7 +63,7 @@
 	return *value
 }
 
-// CacheEvents takes in an engine's cache events.
+// CacheEvents records the cache events of an engine.
 func (s *upstreamsService) CacheEvents(_ context.Context, payload *upstreams.CacheEventsPayload) error {
 	for _, event := range payload.Events {
 		s.options.Router.CacheEvent(payload.Service, upstream.CacheEvent{
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// List lists the replicas as this gate sees them.
+// List returns the replicas as known to this gate.
 func (s *upstreamsService) List(context.Context) ([]*upstreams.UpstreamStatus, error) {
 	replicas := s.options.Router.Upstreams()
 	results := make([]*upstreams.UpstreamStatus, len(replicas))
