--- a/internal/ctl/account.go
+++ b/internal/ctl/account.go
@@ -17,11 +17,11 @@
 func (a *app) accountCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "account",
-		Usage:     "say from processes' logs what became of each request, and why it was not served in time",
+		Usage:     "report from the processes' logs how many requests were not served in time, and why",
 		ArgsUsage: "FILE...",
 		Flags: []cli.Flag{
-			&cli.DurationFlag{Name: "pause", Usage: "`TIME` between two events from which on a stream counts as paused; as its route says if not given"},
-			&cli.StringFlag{Name: "plot", Usage: "`FILE` (svg, png or pdf) to draw the losses by the second to"},
+			&cli.DurationFlag{Name: "pause", Usage: "`TIME` between two events above which a stream counts as paused; default: the limit of its route"},
+			&cli.StringFlag{Name: "plot", Usage: "`FILE` (svg, png or pdf) for a plot of the requests not served in time, by second"},
 		},
 		Action: a.account,
 	}
@@ -50,8 +50,8 @@
 	return report.Write(a.streams.Out)
 }
 
-// readLog takes in one process's log. Its name stands for the process where the lines
-// do not say which it is.
+// readLog reads the log of one process. The file's name is used as the name of the
+// process until a line of the log names it.
 func (a *app) readLog(ledger *account.Ledger, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
@@ -62,24 +62,24 @@
 	if err != nil {
 		return fmt.Errorf("read %s: %w", path, err)
 	}
-	shown := newProgress(a.streams.Err, filepath.Base(path), info.Size())
+	bar := newProgress(a.streams.Err, filepath.Base(path), info.Size())
 	name := strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
-	if err := ledger.Read(name, &counted{from: file, shown: shown}); err != nil {
+	if err := ledger.Read(name, &progressReader{from: file, bar: bar}); err != nil {
 		return fmt.Errorf("read %s: %w", path, err)
 	}
 	return nil
 }
 
-// counted shows how much of a file has been read.
-type counted struct {
-	from  io.Reader
-	read  int64
-	shown *progress
+// progressReader is a reader that shows how much of a file has been read.
+type progressReader struct {
+	from io.Reader
+	read int64
+	bar  *progress
 }
 
-func (c *counted) Read(into []byte) (int, error) {
+func (c *progressReader) Read(into []byte) (int, error) {
 	n, err := c.from.Read(into)
 	c.read += int64(n)
-	c.shown.set(c.read)
+	c.bar.update(c.read)
 	return n, err
 }
--- a/internal/ctl/app.go
+++ b/internal/ctl/app.go
@@ -1,5 +1,5 @@
-// Package ctl is the command-line tool slatectl: templates, teams, changes,
-// batch jobs and the fleet, over the HTTP APIs of slatewayd.
+// Package ctl implements the command-line tool slatectl, which manages templates,
+// teams, changes, batch jobs and the fleet through the HTTP APIs of slatewayd.
 package ctl
 
 import (
@@ -21,17 +21,17 @@
 
 const description = `Exit codes:
    0  done
-   1  failed: a defect, a failed disk or upstream, or a job with failed items
+   1  failed: a bug, a failed disk or upstream, or a job with failed items
    2  wrong usage
-   3  conflict: the object changed meanwhile
+   3  conflict: the object changed in the meantime
    4  not found
    5  unavailable: no server answered in time, or the system cannot serve now
-   6  refused: the request is wrong or not allowed as it stands
+   6  refused: the request is invalid or not allowed
 
 A request whose answer was lost is sent again, to the next server, with the
-same change ID or job key, so that it takes effect once.`
+same change ID or job key, so that it takes effect only once.`
 
-// app holds what the commands share.
+// app holds the state that is shared by all commands.
 type app struct {
 	streams Streams
 }
@@ -56,11 +56,11 @@
 				Name:    "server",
 				Sources: cli.EnvVars("SLATEWAY_SERVER"),
 				Value:   []string{"127.0.0.1:8080", "127.0.0.1:8081"},
-				Usage:   "`IP:PORT` of an operators' or callers' listener; repeatable, tried in order; one that does not serve a call is passed over",
+				Usage:   "`IP:PORT` of an operators or callers listener; repeatable, tried in order; a listener that does not serve a call is skipped",
 			},
 			&cli.StringFlag{Name: "token", Sources: cli.EnvVars("SLATEWAY_TOKEN"), Usage: "the team's bearer `TOKEN`, for jobs"},
-			&cli.DurationFlag{Name: "retry-for", Value: 30 * time.Second, Usage: "how long to try while no server can serve the call"},
-			&cli.BoolFlag{Name: "json", Usage: "print answers as JSON"},
+			&cli.DurationFlag{Name: "retry-for", Value: 30 * time.Second, Usage: "how long to retry while no server can serve the call"},
+			&cli.BoolFlag{Name: "json", Usage: "print results as JSON"},
 		},
 		Commands: []*cli.Command{
 			a.templateCommand(),
@@ -76,16 +76,16 @@
 		Reader:    streams.In,
 		Writer:    streams.Out,
 		ErrWriter: streams.Err,
-		// The code and the message come from Main.
+		// Main prints the error and returns the exit code.
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 	}
-	prepare(root)
+	setErrorHandlers(root)
 	return root
 }
 
-// prepare makes usage errors of all commands typed, and shows what a group of
-// commands offers if none of them is named.
-func prepare(command *cli.Command) {
+// setErrorHandlers makes all commands return usage errors as UsageError, and command groups
+// show their help if no command is given.
+func setErrorHandlers(command *cli.Command) {
 	command.OnUsageError = func(_ context.Context, _ *cli.Command, err error, _ bool) error {
 		return &UsageError{Message: err.Error()}
 	}
@@ -98,20 +98,21 @@
 		}
 	}
 	for _, child := range command.Commands {
-		prepare(child)
+		setErrorHandlers(child)
 	}
 }
 
-// arguments checks that a command got exactly the arguments that it names.
+// arguments returns the command's arguments, or a UsageError if there is not exactly
+// one for each name.
 func arguments(command *cli.Command, names ...string) ([]string, error) {
-	given := command.Args().Slice()
-	if len(given) < len(names) {
-		return nil, &UsageError{Message: fmt.Sprintf("%s needs %s", command.FullName(), names[len(given)])}
+	args := command.Args().Slice()
+	if len(args) < len(names) {
+		return nil, &UsageError{Message: fmt.Sprintf("%s: argument %s is missing", command.FullName(), names[len(args)])}
 	}
-	if len(given) > len(names) {
-		return nil, &UsageError{Message: fmt.Sprintf("%s does not take %q", command.FullName(), given[len(names)])}
+	if len(args) > len(names) {
+		return nil, &UsageError{Message: fmt.Sprintf("%s: unexpected argument %q; remove it", command.FullName(), args[len(names)])}
 	}
-	return given, nil
+	return args, nil
 }
 
 func (a *app) client(command *cli.Command) *Client {
--- a/internal/ctl/caps.go
+++ b/internal/ctl/caps.go
@@ -14,7 +14,7 @@
 
 const capsPath = "/v1/caps"
 
-// capStatus is a team's credit at one gate.
+// capStatus is a team's rate limit and remaining credit at one gate.
 type capStatus struct {
 	Team   string  `json:"team"`
 	Gate   string  `json:"gate"`
@@ -28,13 +28,13 @@
 func (a *app) capCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "cap",
-		Usage: "what teams may send, and how much of it is left",
+		Usage: "rate limits of teams and their remaining credit",
 		Commands: []*cli.Command{{
 			Name:        "list",
-			Usage:       "list teams by the credit that is left",
+			Usage:       "list teams by remaining credit",
 			ArgsUsage:   "[TEAM]",
-			Description: "asks the metrics address of each --server; give all gates, since each holds the credit of some teams",
-			Flags:       []cli.Flag{&cli.BoolFlag{Name: "all-gates", Usage: "also list gates that hold credit of a team without owning it"}},
+			Description: "queries the metrics address of each --server; list all gates, since each gate holds the credit of some teams only",
+			Flags:       []cli.Flag{&cli.BoolFlag{Name: "all-gates", Usage: "also list gates that hold credit of a team without being its owner"}},
 			Action:      a.capList,
 		}},
 	}
@@ -44,7 +44,7 @@
 	if command.Args().Len() > 1 {
 		return &UsageError{Message: command.FullName() + " takes one team at most"}
 	}
-	rows, err := a.askCaps(ctx, command)
+	rows, err := a.queryCaps(ctx, command)
 	if len(rows) == 0 && err != nil {
 		return err
 	}
@@ -83,17 +83,18 @@
 	}
 }
 
-// askCaps asks each server once; its error names those that did not answer.
-func (a *app) askCaps(ctx context.Context, command *cli.Command) ([]capStatus, error) {
+// queryCaps queries each server once. It returns the answers, and an error that joins
+// the errors of the servers without one.
+func (a *app) queryCaps(ctx context.Context, command *cli.Command) ([]capStatus, error) {
 	var rows []capStatus
 	var failed []error
 	for _, server := range command.StringSlice("server") {
-		var held []capStatus
-		if _, err := NewClient([]string{server}, "", 0).get(ctx, capsPath, nil, &held); err != nil {
+		var caps []capStatus
+		if _, err := NewClient([]string{server}, "", 0).get(ctx, capsPath, nil, &caps); err != nil {
 			failed = append(failed, err)
 			continue
 		}
-		rows = append(rows, held...)
+		rows = append(rows, caps...)
 	}
 	return rows, errors.Join(failed...)
 }
--- a/internal/ctl/caps_test.go
+++ b/internal/ctl/caps_test.go
@@ -8,24 +8,24 @@
 )
 
 var _ = Describe("cap list", func() {
-	caps := func(body string) *fake {
-		return newFake(map[string]http.HandlerFunc{"GET /v1/caps": answer(200, body)})
+	caps := func(body string) *fakeServer {
+		return newFakeServer(map[string]http.HandlerFunc{"GET /v1/caps": answer(200, body)})
 	}
 
-	// Guards against a team that is looked up at the first gate only, where it is not held.
+	// A team's credit may be held by a gate other than the first one, so all must be queried.
 	It("asks all gates and lists the teams with the least credit first", func() {
 		first := caps(`[{"team":"council","gate":"gate-1","owner":true,"rate_per_second":10,"burst":20,"credit":17.4}]`)
 		second := caps(`[{"team":"council","gate":"gate-2","credit":3},{"team":"parish","gate":"gate-2","owner":true,"rate_per_second":2,"burst":2,"credit":-1.5,"low":true}]`)
-		got := run([]*fake{first, second}, "cap", "list")
+		got := run([]*fakeServer{first, second}, "cap", "list")
 		Expect(got.code).To(Equal(0), got.err)
 		Expect(got.out).To(MatchRegexp(`(?s)parish\s+-1.5\s+2\s+2\s+over\s+gate-2.*council\s+17.4\s+10\s+20\s+plenty\s+gate-1`))
 		Expect(got.out).NotTo(ContainSubstring("standby"))
-		Expect(run([]*fake{first, second}, "cap", "list", "--all-gates", "council").out).To(ContainSubstring("standby"))
+		Expect(run([]*fakeServer{first, second}, "cap", "list", "--all-gates", "council").out).To(ContainSubstring("standby"))
 	})
 
 	It("lists what answered and says that not all did", func() {
-		silent := newFake(map[string]http.HandlerFunc{"GET /v1/caps": loseAnswer})
-		got := run([]*fake{silent, caps(`[{"team":"council","gate":"gate-1","owner":true,"credit":5}]`)}, "cap", "list")
+		unresponsive := newFakeServer(map[string]http.HandlerFunc{"GET /v1/caps": dropConnection})
+		got := run([]*fakeServer{unresponsive, caps(`[{"team":"council","gate":"gate-1","owner":true,"credit":5}]`)}, "cap", "list")
 		Expect(got.code).To(Equal(0))
 		Expect(got.out).To(ContainSubstring("council"))
 		Expect(got.err).To(ContainSubstring("not all gates answered"))
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -14,20 +14,21 @@
 	"time"
 )
 
-// Pauses between rounds over all servers, doubling from the first to the last.
+// Backoff between rounds over all servers, doubled after each round.
 const (
-	firstPause = 100 * time.Millisecond
-	lastPause  = 2 * time.Second
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 2 * time.Second
 )
 
-// answerTimeout bounds the wait for one server's answer. A server that takes a
-// connection and never answers looks the same as a lost answer.
+// answerTimeout limits the wait for one server's answer. It is then treated as lost,
+// because the request may have been received.
 const answerTimeout = 15 * time.Second
 
-// maxAnswer bounds the body of an answer that is read as a whole.
-const maxAnswer = 64 << 20
+// maxAnswerBytes limits the size of an answer's body, which is read into memory.
+const maxAnswerBytes = 64 << 20
 
-// Client calls slatewayd. It tries its servers in order, round after round.
+// Client calls the HTTP APIs of slatewayd. It tries its servers in order, and repeats
+// such rounds until one serves the call or the retry time is over.
 type Client struct {
 	servers  []string
 	token    string
@@ -35,21 +36,21 @@
 	http     *http.Client
 }
 
-// call is one request that may be sent several times.
+// call describes a request, which may be sent several times.
 type call struct {
 	method      string
 	path        string
 	query       url.Values
 	contentType string
 	body        []byte
-	// once forbids sending again after the request may have been received.
-	once bool
+	// noResend forbids a resend noResend a server may have received the request.
+	noResend bool
 }
 
 func (c *call) String() string { return c.method + " " + c.path }
 
-// NewClient makes a Client for servers (IP:port, or http URLs). A call is
-// repeated for retryFor while no server can serve it.
+// NewClient returns a Client for servers, each an IP:port or an HTTP URL. A call is
+// retried for retryFor while no server can serve it.
 func NewClient(servers []string, token string, retryFor time.Duration) *Client {
 	return &Client{
 		servers:  servers,
@@ -59,12 +60,12 @@
 	}
 }
 
-// get reads an object, and returns the JSON as it came too.
+// get reads an object into into, and also returns the JSON as received.
 func (c *Client) get(ctx context.Context, path string, query url.Values, into any) (json.RawMessage, error) {
 	return c.json(ctx, &call{method: http.MethodGet, path: path, query: query}, into)
 }
 
-// send sends body as JSON and reads the answer.
+// send sends body as JSON and reads the answer into into.
 func (c *Client) send(ctx context.Context, method, path string, body, into any) (json.RawMessage, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -79,7 +80,7 @@
 		return nil, err
 	}
 	defer response.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	raw, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
 		return nil, fmt.Errorf("%s: read the answer: %w", request, err)
 	}
@@ -87,18 +88,18 @@
 		return raw, nil
 	}
 	if err := json.Unmarshal(raw, into); err != nil {
-		return nil, fmt.Errorf("%s: the answer is not what this slatectl expects: %w; use the slatectl of the servers' version", request, err)
+		return nil, fmt.Errorf("%s: unexpected answer: %w; use the version of slatectl that matches the servers", request, err)
 	}
 	return raw, nil
 }
 
-// do sends a call to one server after the other until one accepts it or
-// refuses it for good.
+// do sends a call to one server after the other until one accepts it or refuses it
+// permanently.
 func (c *Client) do(ctx context.Context, request *call) (*http.Response, error) {
 	deadline := time.Now().Add(c.retryFor)
-	pause := firstPause
+	backoff := minBackoff
 	for {
-		response, wait, err := c.round(ctx, request)
+		response, wait, err := c.tryServers(ctx, request)
 		if err == nil {
 			return response, nil
 		}
@@ -106,24 +107,25 @@
 		if !errors.As(err, &retry) {
 			return nil, err
 		}
-		wait = max(wait, pause)
+		wait = max(wait, backoff)
 		if time.Now().Add(wait).After(deadline) {
 			return nil, &UnreachableError{Call: request.String(), Servers: c.servers, Last: retry.cause}
 		}
 		if err := sleep(ctx, wait); err != nil {
 			return nil, err
 		}
-		pause = min(2*pause, lastPause)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// retryError marks a failure after which the call may be sent again.
+// retryError wraps an error after which the call may be retried.
 type retryError struct{ cause error }
 
 func (e *retryError) Error() string { return e.cause.Error() }
 
-// round tries each server once. It returns how long the servers asked to wait.
-func (c *Client) round(ctx context.Context, request *call) (*http.Response, time.Duration, error) {
+// tryServers tries each server once. It also returns how long the servers asked to wait
+// before a retry.
+func (c *Client) tryServers(ctx context.Context, request *call) (*http.Response, time.Duration, error) {
 	last := errors.New("no --server given")
 	var wait time.Duration
 	for _, server := range c.servers {
@@ -146,48 +148,48 @@
 
 // attempt sends a call to one server.
 func (c *Client) attempt(ctx context.Context, server string, request *call) (*http.Response, error) {
-	message, err := c.message(ctx, server, request)
+	httpRequest, err := c.newRequest(ctx, server, request)
 	if err != nil {
 		return nil, err
 	}
-	response, err := c.http.Do(message)
+	response, err := c.http.Do(httpRequest)
 	if err != nil {
-		return nil, c.lost(ctx, request, err)
+		return nil, c.lostAnswer(ctx, request, err)
 	}
 	if response.StatusCode < http.StatusBadRequest {
 		return response, nil
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
-		return nil, c.lost(ctx, request, err)
+		return nil, c.lostAnswer(ctx, request, err)
 	}
 	refusal := parseAPIError(response.StatusCode, body)
 	switch {
 	case refusal == nil:
 		text := strings.TrimSpace(string(body[:min(len(body), 200)]))
 		return nil, &retryError{fmt.Errorf("%s answered %s: %s", server, response.Status, text)}
-	case refusal.temporary() && !(request.once && refusal.Ran == "unknown"):
+	case refusal.retryable() && !(request.noResend && refusal.Ran == "unknown"):
 		return nil, &retryError{refusal}
 	}
 	return nil, refusal
 }
 
-// lost judges a call whose answer did not come. One that must not be repeated
-// is repeated only if no connection came about.
-func (c *Client) lost(ctx context.Context, request *call, err error) error {
+// lostAnswer returns the error for a call without an answer. A call with noResend set is retried
+// only if no connection was established.
+func (c *Client) lostAnswer(ctx context.Context, request *call, err error) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
 	var network *net.OpError
 	connected := !errors.As(err, &network) || network.Op != "dial"
-	if request.once && connected {
-		return fmt.Errorf("%s: the answer was lost: %w; look whether it took effect before sending it again", request, err)
+	if request.noResend && connected {
+		return fmt.Errorf("%s: the answer was lost: %w; check whether it took effect before sending it again", request, err)
 	}
 	return &retryError{err}
 }
 
-func (c *Client) message(ctx context.Context, server string, request *call) (*http.Request, error) {
+func (c *Client) newRequest(ctx context.Context, server string, request *call) (*http.Request, error) {
 	base := server
 	if !strings.Contains(base, "://") {
 		base = "http://" + base
@@ -198,17 +200,17 @@
 	}
 	target.Path = request.path
 	target.RawQuery = request.query.Encode()
-	message, err := http.NewRequestWithContext(ctx, request.method, target.String(), bytes.NewReader(request.body))
+	httpRequest, err := http.NewRequestWithContext(ctx, request.method, target.String(), bytes.NewReader(request.body))
 	if err != nil {
 		return nil, err
 	}
 	if request.contentType != "" {
-		message.Header.Set("Content-Type", request.contentType)
+		httpRequest.Header.Set("Content-Type", request.contentType)
 	}
 	if c.token != "" {
-		message.Header.Set("Authorization", "Bearer "+c.token)
+		httpRequest.Header.Set("Authorization", "Bearer "+c.token)
 	}
-	return message, nil
+	return httpRequest, nil
 }
 
 func sleep(ctx context.Context, wait time.Duration) error {
--- a/internal/ctl/config.go
+++ b/internal/ctl/config.go
@@ -17,47 +17,49 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Paths of the configuration.
+// Paths of the configuration API.
 const (
 	templatesPath = "/v1/templates"
 	teamsPath     = "/v1/teams"
 	changesPath   = "/v1/changes/"
 )
 
-// changePoll is the time between two questions whether a change is in force.
+// changePoll is the interval at which a change is checked for being in force.
 const changePoll = 200 * time.Millisecond
 
-// changeFlags are the flags of each command that changes the configuration.
+// changeFlags returns more together with the flags of all commands that change the
+// configuration.
 func changeFlags(more ...cli.Flag) []cli.Flag {
 	return append(more,
-		&cli.Uint64Flag{Name: "base-revision", Usage: "revision `N` that the object must still have; the present one if not given; 0 for a new object"},
-		&cli.StringFlag{Name: "change-id", Usage: "`ID` of this change; a resend with it takes effect once"},
+		&cli.Uint64Flag{Name: "base-revision", Usage: "revision `N` that the object must still have; default: its current one; 0 for a new object"},
+		&cli.StringFlag{Name: "change-id", Usage: "`ID` of this change; a change sent several times with the same ID takes effect once"},
 		&cli.StringFlag{Name: "operator", Sources: cli.EnvVars("SLATEWAY_OPERATOR", "USER"), Usage: "`NAME` to record with the change"},
-		&cli.BoolFlag{Name: "wait", Usage: "return once the change is in force at every gate"},
-		&cli.DurationFlag{Name: "wait-for", Value: time.Minute, Usage: "longest time of --wait"},
+		&cli.BoolFlag{Name: "wait", Usage: "wait until the change is in force at every gate"},
+		&cli.DurationFlag{Name: "wait-for", Value: time.Minute, Usage: "maximum duration of --wait"},
 	)
 }
 
-// newChange reads changeFlags; present is the object's revision now.
-func newChange(command *cli.Command, present uint64) change {
-	wanted := change{BaseRevision: present, ChangeID: command.String("change-id"), Operator: command.String("operator")}
+// newChange creates a change from the flags of changeFlags. revision is the object's
+// current revision.
+func newChange(command *cli.Command, revision uint64) changeHeader {
+	result := changeHeader{BaseRevision: revision, ChangeID: command.String("change-id"), Operator: command.String("operator")}
 	if command.IsSet("base-revision") {
-		wanted.BaseRevision = command.Uint64("base-revision")
+		result.BaseRevision = command.Uint64("base-revision")
 	}
-	if wanted.ChangeID == "" {
-		wanted.ChangeID = newID()
+	if result.ChangeID == "" {
+		result.ChangeID = newID()
 	}
-	return wanted
+	return result
 }
 
-// submit sends a change and reports its revision. If the answer is lost, the
-// error names the change ID that makes a resend safe.
-func (a *app) submit(ctx context.Context, command *cli.Command, request *call, wanted change) error {
+// submit sends a change and prints its revision. If it fails, the error contains the
+// change ID with which the change can safely be sent again.
+func (a *app) submit(ctx context.Context, command *cli.Command, request *call, header changeHeader) error {
 	client := a.client(command)
 	var result changeResult
 	raw, err := client.json(ctx, request, &result)
 	if err != nil {
-		return fmt.Errorf("%w\nto send the same change again: --change-id %s --base-revision %d", err, wanted.ChangeID, wanted.BaseRevision)
+		return fmt.Errorf("%w\nto send the same change again: --change-id %s --base-revision %d", err, header.ChangeID, header.BaseRevision)
 	}
 	if command.Bool("wait") {
 		if _, err := a.waitInForce(ctx, client, result.Revision, command.Duration("wait-for")); err != nil {
@@ -74,9 +76,9 @@
 	return &call{method: http.MethodPut, path: path, contentType: "application/json", body: encoded}, err
 }
 
-// waitInForce waits until every live gate serves under a revision.
-func (a *app) waitInForce(ctx context.Context, client *Client, revision uint64, longest time.Duration) (json.RawMessage, error) {
-	deadline := time.Now().Add(longest)
+// waitInForce waits up to timeout until every live gate serves under revision.
+func (a *app) waitInForce(ctx context.Context, client *Client, revision uint64, timeout time.Duration) (json.RawMessage, error) {
+	deadline := time.Now().Add(timeout)
 	for {
 		var status changeStatus
 		raw, err := client.get(ctx, changesPath+strconv.FormatUint(revision, 10), nil, &status)
@@ -87,7 +89,7 @@
 			return nil, &UnreachableError{
 				Call:    fmt.Sprintf("wait for revision %d", revision),
 				Servers: status.WaitingFor,
-				Last:    fmt.Errorf("gates on these VMs do not serve under it after %s", longest),
+				Last:    fmt.Errorf("the gates on these VMs do not serve under it after %s", timeout),
 			}
 		}
 		if err := sleep(ctx, changePoll); err != nil {
@@ -99,12 +101,12 @@
 func (a *app) changeCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "change",
-		Usage: "follow changes of the configuration",
+		Usage: "track changes of the configuration",
 		Commands: []*cli.Command{{
 			Name:      "wait",
-			Usage:     "return once a revision is in force at every gate",
+			Usage:     "wait until a revision is in force at every gate",
 			ArgsUsage: "REVISION",
-			Flags:     []cli.Flag{&cli.DurationFlag{Name: "wait-for", Value: time.Minute, Usage: "longest time to wait"}},
+			Flags:     []cli.Flag{&cli.DurationFlag{Name: "wait-for", Value: time.Minute, Usage: "maximum time to wait"}},
 			Action:    a.changeWait,
 		}},
 	}
@@ -129,7 +131,7 @@
 func (a *app) templateCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "template",
-		Usage: "templates that teams are made from",
+		Usage: "templates from which teams are created",
 		Commands: []*cli.Command{
 			{Name: "apply", Usage: "create or change a template", ArgsUsage: "NAME FILE", Flags: changeFlags(), Action: a.templateApply},
 			{Name: "list", Usage: "list templates", Action: a.templateList},
@@ -148,21 +150,21 @@
 		return err
 	}
 	path := templatesPath + "/" + url.PathEscape(args[0])
-	var present templateBody
-	if err := a.readPresent(ctx, command, path, &present); err != nil {
+	var current templateBody
+	if err := a.readIfExists(ctx, command, path, &current); err != nil {
 		return err
 	}
-	wanted := newChange(command, present.Revision)
-	request, err := putCall(path, putTemplate{change: wanted, Source: string(source)})
+	header := newChange(command, current.Revision)
+	request, err := putCall(path, putTemplate{changeHeader: header, Source: string(source)})
 	if err != nil {
 		return err
 	}
-	return a.submit(ctx, command, request, wanted)
+	return a.submit(ctx, command, request, header)
 }
 
-// readPresent reads an object, which may not exist. It asks nothing when the
-// caller states the base revision.
-func (a *app) readPresent(ctx context.Context, command *cli.Command, path string, into any) error {
+// readIfExists reads an object if it exists. It does nothing if the base revision is
+// set by a flag.
+func (a *app) readIfExists(ctx context.Context, command *cli.Command, path string, into any) error {
 	if command.IsSet("base-revision") {
 		return nil
 	}
@@ -216,7 +218,7 @@
 	return err
 }
 
-// formatParameters gives k=v pairs in the order of their names.
+// formatParameters formats parameters as name=value pairs, sorted by name.
 func formatParameters(parameters map[string]string) string {
 	pairs := make([]string, 0, len(parameters))
 	for _, name := range slices.Sorted(maps.Keys(parameters)) {
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -26,22 +26,22 @@
 	RunSpecs(t, "slatectl")
 }
 
-// received is one request as a fake server got it.
+// received is a request that a fake server received.
 type received struct {
 	call  string // method and path
 	query string
 	body  string
 }
 
-// fake is a server that records requests and answers them from a table.
-type fake struct {
+// fakeServer is a server that records requests and answers them from a table.
+type fakeServer struct {
 	*httptest.Server
 	mu       sync.Mutex
 	requests []received
 }
 
-func newFake(routes map[string]http.HandlerFunc) *fake {
-	server := &fake{}
+func newFakeServer(routes map[string]http.HandlerFunc) *fakeServer {
+	server := &fakeServer{}
 	mux := http.NewServeMux()
 	for pattern, handler := range routes {
 		mux.HandleFunc(pattern, handler)
@@ -58,7 +58,7 @@
 	return server
 }
 
-func (f *fake) calls() []string {
+func (f *fakeServer) calls() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var calls []string
@@ -68,7 +68,7 @@
 	return calls
 }
 
-func (f *fake) bodyOf(call string) map[string]any {
+func (f *fakeServer) bodyOf(call string) map[string]any {
 	GinkgoHelper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -91,19 +91,19 @@
 }
 
 func refuse(status int, reason string, retryAfterMS int) http.HandlerFunc {
-	return answer(status, fmt.Sprintf(`{"name":"x","error":{"message":"it failed","code":%q,"reason":%q,"ran":"no","retry_after_ms":%d,"remedy":"mend it"}}`, reason, reason, retryAfterMS))
+	return answer(status, fmt.Sprintf(`{"name":"x","error":{"message":"it failed","code":%q,"reason":%q,"ran":"no","retry_after_ms":%d,"remedy":"correct it"}}`, reason, reason, retryAfterMS))
 }
 
-// loseAnswer cuts the connection after the request was received.
-func loseAnswer(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+// dropConnection closes the connection after the request was received.
+func dropConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// result is what one run of slatectl gave.
+// result holds the exit code and output of one run of slatectl.
 type result struct {
 	code     int
 	out, err string
 }
 
-func run(servers []*fake, args ...string) result {
+func run(servers []*fakeServer, args ...string) result {
 	all := []string{"slatectl", "--retry-for", "1s"}
 	for _, server := range servers {
 		all = append(all, "--server", server.URL)
@@ -123,13 +123,13 @@
 var _ = Describe("a change", func() {
 	const team = `{"name":"guild","template":"news","parameters":{"model":"small","share":"40"},"revision":12}`
 
-	// An operator changes a team. The server takes the change and its VM is
-	// lost before the answer leaves. The tool asks the next server, which must
-	// see the same change ID, or the change would take effect twice.
+	// If a server is lost after it has accepted a change and before it answers, the
+	// request is resent to the next server with the same change ID. With another one
+	// the change would take effect twice.
 	It("whose answer was lost is sent to the next server with the same change ID", func() {
-		first := newFake(map[string]http.HandlerFunc{"GET /v1/teams/guild": answer(200, team), "PUT /v1/teams/guild": loseAnswer})
-		second := newFake(map[string]http.HandlerFunc{"PUT /v1/teams/guild": answer(200, `{"revision":13,"change_id":"x"}`)})
-		got := run([]*fake{first, second}, "team", "set", "--param", "share=50", "guild")
+		first := newFakeServer(map[string]http.HandlerFunc{"GET /v1/teams/guild": answer(200, team), "PUT /v1/teams/guild": dropConnection})
+		second := newFakeServer(map[string]http.HandlerFunc{"PUT /v1/teams/guild": answer(200, `{"revision":13,"change_id":"x"}`)})
+		got := run([]*fakeServer{first, second}, "team", "set", "--param", "share=50", "guild")
 		Expect(got).To(Equal(result{0, "revision 13\n", ""}))
 		Expect(second.bodyOf("PUT /v1/teams/guild")).To(Equal(first.bodyOf("PUT /v1/teams/guild")))
 		Expect(second.bodyOf("PUT /v1/teams/guild")).To(HaveKeyWithValue("base_revision", BeEquivalentTo(12)))
@@ -137,31 +137,31 @@
 	})
 
 	It("that lost a race exits 3, and names the remedy and the change ID", func() {
-		server := newFake(map[string]http.HandlerFunc{
+		server := newFakeServer(map[string]http.HandlerFunc{
 			"GET /v1/templates/news": refuse(404, "unknown_template", 0),
 			"PUT /v1/templates/news": refuse(409, "base_revision_old", 0),
 		})
-		got := run([]*fake{server}, "template", "apply", "--change-id", "c-7", "news", writeTemp("a = 1"))
+		got := run([]*fakeServer{server}, "template", "apply", "--change-id", "c-7", "news", writeTemp("a = 1"))
 		Expect(got.code).To(Equal(ctl.ExitConflict))
-		Expect(got.err).To(And(ContainSubstring("mend it"), ContainSubstring("--change-id c-7")))
+		Expect(got.err).To(And(ContainSubstring("correct it"), ContainSubstring("--change-id c-7")))
 		Expect(server.bodyOf("PUT /v1/templates/news")).To(And(HaveKeyWithValue("source", "a = 1"), HaveKeyWithValue("base_revision", BeEquivalentTo(0))))
 	})
 
-	It("is waited for until it is in force, and the late gates are named", func() {
-		server := newFake(map[string]http.HandlerFunc{
+	It("is waited for until it is in force, and the gates without it are listed", func() {
+		server := newFakeServer(map[string]http.HandlerFunc{
 			"GET /v1/changes/13": answer(200, `{"revision":13,"in_force":false,"waiting_for":["vm-4"]}`),
 		})
-		got := run([]*fake{server}, "change", "wait", "--wait-for", "1ms", "13")
+		got := run([]*fakeServer{server}, "change", "wait", "--wait-for", "1ms", "13")
 		Expect(got.code).To(Equal(ctl.ExitUnavailable))
 		Expect(got.err).To(ContainSubstring("vm-4"))
 	})
 
 	It("deletes a team on the base of its present revision", func() {
-		server := newFake(map[string]http.HandlerFunc{
+		server := newFakeServer(map[string]http.HandlerFunc{
 			"GET /v1/teams/guild":    answer(200, team),
 			"DELETE /v1/teams/guild": answer(200, `{"revision":14,"change_id":"x"}`),
 		})
-		Expect(run([]*fake{server}, "--json", "team", "delete", "--change-id", "c", "--operator", "o", "guild").out).
+		Expect(run([]*fakeServer{server}, "--json", "team", "delete", "--change-id", "c", "--operator", "o", "guild").out).
 			To(MatchJSON(`{"revision":14,"change_id":"x"}`))
 		Expect(server.requests[1].query).To(Equal("base_revision=12&change_id=c&operator=o"))
 	})
@@ -178,9 +178,9 @@
 	}
 
 	It("is sent in parts, sealed and waited for; failed items make it exit 1", func() {
-		server := newFake(jobRoutes())
+		server := newFakeServer(jobRoutes())
 		items := writeTemp("{\"custom_id\":\"1\"}\n\n{\"custom_id\":\"2\"}\n{\"custom_id\":\"3\"}\n{\"custom_id\":\"4\"}\n{\"custom_id\":\"5\"}")
-		got := run([]*fake{server}, "--token", "t", "job", "submit", "--key", "k", "--part-items", "2", "--wait", items)
+		got := run([]*fakeServer{server}, "--token", "t", "job", "submit", "--key", "k", "--part-items", "2", "--wait", items)
 		Expect(got.code).To(Equal(ctl.ExitFailed))
 		Expect(got.err).To(And(ContainSubstring("items: 5 of 5"), ContainSubstring("1 of 5 items of job j1 failed")))
 		Expect(server.calls()).To(Equal([]string{
@@ -194,12 +194,12 @@
 	It("with a broken part ends with exit 6 and names the part's first line", func() {
 		routes := jobRoutes()
 		routes["PUT /v1/jobs/j1/parts/{n}"] = refuse(400, "broken_line", 0)
-		got := run([]*fake{newFake(routes)}, "job", "submit", "--key", "k", writeTemp("\n{}\n"))
+		got := run([]*fakeServer{newFakeServer(routes)}, "job", "submit", "--key", "k", writeTemp("\n{}\n"))
 		Expect(got.code).To(Equal(ctl.ExitRefused))
 		Expect(got.err).To(ContainSubstring("part 0, which begins at line 2"))
 	})
 
-	It("gives its results page by page, and the item to go on from after a failure", func() {
+	It("returns its results page by page, and the item to continue from after a failure", func() {
 		page := func(w http.ResponseWriter, r *http.Request) {
 			from, _ := strconv.Atoi(r.URL.Query().Get("from"))
 			if from == 4 {
@@ -209,8 +209,8 @@
 			w.Header().Set("Next-From", strconv.Itoa(from+2))
 			fmt.Fprintf(w, "{\"index\":%d}\n{\"index\":%d}\n", from, from+1)
 		}
-		server := newFake(map[string]http.HandlerFunc{"GET /v1/jobs/j1/results": page})
-		got := run([]*fake{server}, "job", "results", "--page", "2", "j1")
+		server := newFakeServer(map[string]http.HandlerFunc{"GET /v1/jobs/j1/results": page})
+		got := run([]*fakeServer{server}, "job", "results", "--page", "2", "j1")
 		Expect(got.out).To(Equal("{\"index\":0}\n{\"index\":1}\n{\"index\":2}\n{\"index\":3}\n"))
 		Expect(got.code).To(Equal(ctl.ExitNotFound))
 		Expect(got.err).To(ContainSubstring("--from 4"))
@@ -218,50 +218,50 @@
 })
 
 var _ = Describe("a call", func() {
-	It("passes over a listener that does not serve it", func() {
-		other := newFake(nil)
-		server := newFake(map[string]http.HandlerFunc{"GET /v1/members": answer(200, `[{"vm":"vm-1","state":"alive","groups":[{"group":1,"leader":"vm-2","tolerance":1}]}]`)})
-		got := run([]*fake{other, server}, "member", "list")
+	It("skips a listener that does not serve it", func() {
+		other := newFakeServer(nil)
+		server := newFakeServer(map[string]http.HandlerFunc{"GET /v1/members": answer(200, `[{"vm":"vm-1","state":"alive","groups":[{"group":1,"leader":"vm-2","tolerance":1}]}]`)})
+		got := run([]*fakeServer{other, server}, "member", "list")
 		Expect(got.out).To(And(ContainSubstring("vm-1"), ContainSubstring("tolerance 1")))
 		Expect(other.calls()).To(HaveLen(1))
 	})
 
-	// An operator replaces a keeper. The answer is lost. Sent again, the call
-	// would replace the replacement, which is still copying the log.
+	// If the answer to a replace call is lost and the call were resent, it would replace
+	// the replacement, which is still copying the log.
 	It("that must not be repeated is not sent again after its answer was lost", func() {
-		first := newFake(map[string]http.HandlerFunc{"POST /v1/members/vm-1/replace": loseAnswer})
-		second := newFake(nil)
-		got := run([]*fake{first, second}, "member", "replace", "vm-1")
+		first := newFakeServer(map[string]http.HandlerFunc{"POST /v1/members/vm-1/replace": dropConnection})
+		second := newFakeServer(nil)
+		got := run([]*fakeServer{first, second}, "member", "replace", "vm-1")
 		Expect(got.code).To(Equal(ctl.ExitFailed))
 		Expect(second.calls()).To(BeEmpty())
 	})
 
-	It("is tried again while the system cannot serve", func() {
-		tries := 0
-		server := newFake(map[string]http.HandlerFunc{"GET /v1/entries": func(w http.ResponseWriter, r *http.Request) {
-			tries++
-			if tries == 1 {
+	It("is retried while the system cannot serve", func() {
+		attempts := 0
+		server := newFakeServer(map[string]http.HandlerFunc{"GET /v1/entries": func(w http.ResponseWriter, r *http.Request) {
+			attempts++
+			if attempts == 1 {
 				refuse(503, "no_leader", 1)(w, r)
 				return
 			}
 			answer(200, `{"entries":[{"address":"10.0.0.1:8080","vm":"vm-1","place":"a"}],"lifetime_ms":5000,"revision":3}`)(w, r)
 		}})
-		Expect(run([]*fake{server}, "entries").out).To(And(ContainSubstring("valid for 5s"), ContainSubstring("10.0.0.1:8080")))
+		Expect(run([]*fakeServer{server}, "entries").out).To(And(ContainSubstring("valid for 5s"), ContainSubstring("10.0.0.1:8080")))
 	})
 
 	DescribeTable("ends with an exit code for its kind of refusal",
 		func(status, code int) {
-			server := newFake(map[string]http.HandlerFunc{"GET /v1/teams": refuse(status, "reason", 0)})
-			Expect(run([]*fake{server}, "team", "list").code).To(Equal(code))
+			server := newFakeServer(map[string]http.HandlerFunc{"GET /v1/teams": refuse(status, "reason", 0)})
+			Expect(run([]*fakeServer{server}, "team", "list").code).To(Equal(code))
 		},
 		Entry(nil, 401, ctl.ExitRefused), Entry(nil, 404, ctl.ExitNotFound), Entry(nil, 409, ctl.ExitConflict),
 		Entry(nil, 422, ctl.ExitRefused), Entry(nil, 500, ctl.ExitFailed), Entry(nil, 503, ctl.ExitUnavailable),
 	)
 
-	DescribeTable("is refused in a wrong form before anything is sent",
+	DescribeTable("with wrong arguments is refused before anything is sent",
 		func(args ...string) {
-			server := newFake(nil)
-			Expect(run([]*fake{server}, args...).code).To(Equal(ctl.ExitUsage))
+			server := newFakeServer(nil)
+			Expect(run([]*fakeServer{server}, args...).code).To(Equal(ctl.ExitUsage))
 			Expect(server.calls()).To(BeEmpty())
 		},
 		Entry(nil, "team", "create", "guild"),
--- a/internal/ctl/errors.go
+++ b/internal/ctl/errors.go
@@ -20,21 +20,21 @@
 	ExitRefused     = 6
 )
 
-// UsageError says that slatectl was called in a wrong way.
+// UsageError reports that slatectl was called with wrong arguments or flags.
 type UsageError struct {
 	Message string
 }
 
 func (e *UsageError) Error() string { return e.Message }
 
-// APIError is a refusal or failure that a server answered.
+// APIError is a refusal or failure returned by a server.
 type APIError struct {
 	Status     int // HTTP status
 	Reason     string
 	Message    string
 	Remedy     string
 	Ran        string        // "no" or "unknown"
-	RetryAfter time.Duration // zero if asking again does not help
+	RetryAfter time.Duration // zero if a retry does not help
 }
 
 func (e *APIError) Error() string {
@@ -48,7 +48,7 @@
 	return text
 }
 
-// UnreachableError says that no server could serve a call.
+// UnreachableError reports that no server could serve a call.
 type UnreachableError struct {
 	Call    string // method and path
 	Servers []string
@@ -56,13 +56,13 @@
 }
 
 func (e *UnreachableError) Error() string {
-	return fmt.Sprintf("%s: none of %s could serve it: %v; check --server, or raise --retry-for",
+	return fmt.Sprintf("%s: none of %s could serve the call: %v; check --server or increase --retry-for",
 		e.Call, strings.Join(e.Servers, ", "), e.Last)
 }
 
 func (e *UnreachableError) Unwrap() error { return e.Last }
 
-// errorBody is the body of a refusal.
+// errorBody is the body of an error response.
 type errorBody struct {
 	Error *struct {
 		Message      string          `json:"message"`
@@ -74,8 +74,8 @@
 	} `json:"error"`
 }
 
-// parseAPIError reads a refusal. It returns nil if the body is no refusal of
-// slateway's, as from a listener that does not have the path.
+// parseAPIError decodes the body of an error response. It returns nil if the body is
+// not in slateway's format, for example from a listener that does not serve the path.
 func parseAPIError(status int, body []byte) *APIError {
 	var parsed errorBody
 	if json.Unmarshal(body, &parsed) != nil || parsed.Error == nil {
@@ -95,8 +95,8 @@
 	}
 }
 
-// temporary says whether another server, or the same one later, may answer.
-func (e *APIError) temporary() bool {
+// retryable reports whether a retry at another server, or later, may succeed.
+func (e *APIError) retryable() bool {
 	switch e.Status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusGatewayTimeout:
 		return true
@@ -104,13 +104,13 @@
 	return e.RetryAfter > 0
 }
 
-// isNotFound says whether err means that the named object does not exist.
+// isNotFound reports whether err means that an object does not exist.
 func isNotFound(err error) bool {
 	var refusal *APIError
 	return errors.As(err, &refusal) && refusal.Status == http.StatusNotFound
 }
 
-// ExitCode gives the exit code for an error.
+// ExitCode returns the exit code for an error.
 func ExitCode(err error) int {
 	var usage *UsageError
 	var refusal *APIError
@@ -137,7 +137,7 @@
 	case http.StatusBadGateway, http.StatusInternalServerError:
 		return ExitFailed
 	}
-	if e.temporary() {
+	if e.retryable() {
 		return ExitUnavailable
 	}
 	return ExitRefused
--- a/internal/ctl/fleet.go
+++ b/internal/ctl/fleet.go
@@ -11,7 +11,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Paths of the fleet.
+// Paths of the fleet API.
 const (
 	upstreamsPath = "/v1/upstreams"
 	membersPath   = "/v1/members"
@@ -21,7 +21,7 @@
 func (a *app) upstreamCommand() *cli.Command {
 	return &cli.Command{
 		Name:     "upstream",
-		Usage:    "upstreams as a gate sees them",
+		Usage:    "upstreams as known to a gate",
 		Commands: []*cli.Command{{Name: "list", Usage: "list replicas, their state and load", Action: a.upstreamList}},
 	}
 }
@@ -50,10 +50,10 @@
 		Name:  "member",
 		Usage: "VMs of the fleet",
 		Commands: []*cli.Command{
-			{Name: "list", Usage: "list VMs, and the replicated groups that they hold", Action: a.memberList},
+			{Name: "list", Usage: "list VMs and the replicated groups that they are members of", Action: a.memberList},
 			{
 				Name:      "replace",
-				Usage:     "replace a keeper whose disk was lost by the blank one on the same VM",
+				Usage:     "replace a keeper whose disk was lost by a new one on the same VM's blank disk",
 				ArgsUsage: "VM",
 				Action:    a.memberReplace,
 			},
@@ -79,20 +79,20 @@
 	})
 }
 
-// memberReplace is not sent again once a server may have received it: the
-// replacement that a first one began must not be replaced in turn.
+// memberReplace replaces a member. The request is not resent once a server may have
+// received it: a second one would replace the replacement that the first one started.
 func (a *app) memberReplace(ctx context.Context, command *cli.Command) error {
 	args, err := arguments(command, "VM")
 	if err != nil {
 		return err
 	}
-	request := &call{method: http.MethodPost, path: membersPath + "/" + url.PathEscape(args[0]) + "/replace", once: true}
+	request := &call{method: http.MethodPost, path: membersPath + "/" + url.PathEscape(args[0]) + "/replace", noResend: true}
 	raw, err := a.client(command).json(ctx, request, nil)
 	if err != nil {
 		return err
 	}
 	return a.print(command, raw, func(w io.Writer) {
-		fmt.Fprintf(w, "replacing %s; slatectl member list shows when it counts again\n", args[0])
+		fmt.Fprintf(w, "replacing %s; slatectl member list shows when it is a voter again\n", args[0])
 	})
 }
 
--- a/internal/ctl/jobs.go
+++ b/internal/ctl/jobs.go
@@ -12,16 +12,16 @@
 	"github.com/urfave/cli/v3"
 )
 
-// jobsPath is the path of batch jobs.
+// jobsPath is the path of the jobs API.
 const jobsPath = "/v1/jobs"
 
-// jobPoll is the time between two questions how far a job is.
+// jobPoll is the interval at which the progress of a job is polled.
 const jobPoll = 500 * time.Millisecond
 
 func (a *app) jobCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "job",
-		Usage: "batch jobs of the team whose --token is given",
+		Usage: "batch jobs of the team that --token belongs to",
 		Commands: []*cli.Command{
 			a.submitCommand(),
 			a.resultsCommand(),
@@ -29,11 +29,11 @@
 				Name:      "status",
 				Usage:     "show a job",
 				ArgsUsage: "ID",
-				Flags:     []cli.Flag{&cli.BoolFlag{Name: "wait", Usage: "return once the job has ended"}},
+				Flags:     []cli.Flag{&cli.BoolFlag{Name: "wait", Usage: "wait until the job has ended"}},
 				Action:    a.jobStatus,
 			},
 			{Name: "list", Usage: "list the team's jobs", Action: a.jobList},
-			{Name: "cancel", Usage: "stop a job", ArgsUsage: "ID", Action: a.jobCancel},
+			{Name: "cancel", Usage: "cancel a job", ArgsUsage: "ID", Action: a.jobCancel},
 		},
 	}
 }
@@ -58,17 +58,17 @@
 
 // waitJob shows a job's progress until it has ended, and prints its state.
 func (a *app) waitJob(ctx context.Context, command *cli.Command, id string) error {
-	var shown *progress
+	var bar *progress
 	for {
 		var job jobStatus
 		raw, err := a.client(command).get(ctx, jobPath(id), nil, &job)
 		if err != nil {
 			return err
 		}
-		if shown == nil {
-			shown = newProgress(a.streams.Err, "items", job.Items)
+		if bar == nil {
+			bar = newProgress(a.streams.Err, "items", job.Items)
 		}
-		shown.set(job.Done + job.Failed + job.Cancelled)
+		bar.update(job.Done + job.Failed + job.Cancelled)
 		if job.ended() {
 			return errors.Join(
 				a.print(command, raw, func(w io.Writer) { writeJobs(w, []jobStatus{job}) }),
@@ -81,13 +81,14 @@
 	}
 }
 
-// outcomeError is nil for a job whose items all have a result.
+// outcomeError returns an error for an ended job that was cancelled or has failed
+// items, else nil.
 func outcomeError(job *jobStatus) error {
 	switch {
 	case job.State == jobCancelled:
 		return fmt.Errorf("job %s was cancelled", job.ID)
 	case job.Failed > 0:
-		return fmt.Errorf("%d of %d items of job %s failed; slatectl job results names the reasons", job.Failed, job.Items, job.ID)
+		return fmt.Errorf("%d of %d items of job %s failed; slatectl job results shows the reasons", job.Failed, job.Items, job.ID)
 	}
 	return nil
 }
--- a/internal/ctl/output.go
+++ b/internal/ctl/output.go
@@ -11,7 +11,7 @@
 	"golang.org/x/term"
 )
 
-// print writes an answer: the server's JSON with --json, text otherwise.
+// print writes a result to standard output: the server's JSON with --json, else text.
 func (a *app) print(command *cli.Command, raw json.RawMessage, text func(w io.Writer)) error {
 	if command.Bool("json") {
 		_, err := fmt.Fprintln(a.streams.Out, string(trimNewline(raw)))
@@ -29,12 +29,12 @@
 	return raw
 }
 
-// note writes a line that is no result: progress, or an ID to keep.
+// note writes a line that is not part of the result, such as an ID, to standard error.
 func (a *app) note(format string, args ...any) {
 	fmt.Fprintf(a.streams.Err, format+"\n", args...)
 }
 
-// isTerminal says whether w is a terminal.
+// isTerminal reports whether w is a terminal.
 func isTerminal(w io.Writer) bool {
 	file, ok := w.(*os.File)
 	return ok && term.IsTerminal(int(file.Fd()))
--- a/internal/ctl/progress.go
+++ b/internal/ctl/progress.go
@@ -8,22 +8,23 @@
 	"github.com/schollz/progressbar/v3"
 )
 
-// progress shows how far a long task has come: a bar on a terminal, a line at
-// each tenth elsewhere.
+// progress shows the progress of a long task: as a bar on a terminal, else as a line
+// for each tenth.
 type progress struct {
 	out     io.Writer
 	name    string
 	total   int64
-	bar     *progressbar.ProgressBar // nil if out is no terminal
+	bar     *progressbar.ProgressBar // nil if out is not a terminal
 	started bool
 	tenth   int64
 }
 
-// newProgress makes a progress for total units; -1 if that is not known.
+// newProgress returns the progress display of a task with total units, or -1 if the
+// total is not known.
 func newProgress(out io.Writer, name string, total int64) *progress {
-	shown := &progress{out: out, name: name, total: total}
+	p := &progress{out: out, name: name, total: total}
 	if isTerminal(out) {
-		shown.bar = progressbar.NewOptions64(total,
+		p.bar = progressbar.NewOptions64(total,
 			progressbar.OptionSetWriter(out),
 			progressbar.OptionSetDescription(name),
 			progressbar.OptionShowCount(),
@@ -31,11 +32,11 @@
 			progressbar.OptionOnCompletion(func() { fmt.Fprintln(out) }),
 		)
 	}
-	return shown
+	return p
 }
 
-// set shows that so many units are done.
-func (p *progress) set(done int64) {
+// update shows that done units are completed.
+func (p *progress) update(done int64) {
 	if p.bar != nil {
 		_ = p.bar.Set64(done)
 		return
--- a/internal/ctl/results.go
+++ b/internal/ctl/results.go
@@ -14,13 +14,13 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Headers of an answer with results.
+// Response headers of a page of results.
 const (
 	nextFromHeader = "Next-From"
 	completeHeader = "Results-Complete"
 )
 
-// resultsPoll is the time between two reads of a job whose next item has not
+// resultsPoll is the interval at which results are polled while the next item has not
 // ended.
 const resultsPoll = time.Second
 
@@ -31,9 +31,9 @@
 		ArgsUsage: "ID",
 		Flags: []cli.Flag{
 			&cli.Int64Flag{Name: "from", Usage: "number `N` of the first item, from 0"},
-			&cli.IntFlag{Name: "page", Value: 1000, Usage: "most items in one answer"},
-			&cli.StringFlag{Name: "output", Aliases: []string{"o"}, Usage: "`FILE` to append to; standard output if not given"},
-			&cli.BoolFlag{Name: "follow", Usage: "go on until the job has ended"},
+			&cli.IntFlag{Name: "page", Value: 1000, Usage: "maximum number of items in one answer"},
+			&cli.StringFlag{Name: "output", Aliases: []string{"o"}, Usage: "`FILE` to append to; default: standard output"},
+			&cli.BoolFlag{Name: "follow", Usage: "continue until the job has ended"},
 		},
 		Action: a.jobResults,
 	}
@@ -56,7 +56,7 @@
 	reader := &resultReader{client: a.client(command), id: args[0], page: command.Int("page")}
 	next, err := reader.copy(ctx, out, command.Int64("from"), command.Bool("follow"))
 	if err != nil {
-		return fmt.Errorf("%w\nto go on: --from %d", err, next)
+		return fmt.Errorf("%w\nto continue: --from %d", err, next)
 	}
 	return nil
 }
@@ -68,20 +68,20 @@
 	page   int
 }
 
-// copy writes the results from item from on, and returns the first item that
-// it did not write. Without follow it stops at an item that has not ended.
+// copy writes the results starting with item from, and returns the number of the first
+// item that it did not write. Without follow it stops at an item that has not ended.
 func (r *resultReader) copy(ctx context.Context, out io.Writer, from int64, follow bool) (int64, error) {
 	for {
 		next, complete, err := r.copyPage(ctx, out, from)
 		if err != nil {
 			return from, err
 		}
-		stuck := next <= from
+		noProgress := next <= from
 		from = max(next, from)
 		switch {
-		case complete, stuck && !follow:
+		case complete, noProgress && !follow:
 			return from, nil
-		case stuck:
+		case noProgress:
 			if err := sleep(ctx, resultsPoll); err != nil {
 				return from, err
 			}
@@ -89,8 +89,8 @@
 	}
 }
 
-// copyPage writes one whole page or nothing of it: a page cut off by a lost
-// connection is read again.
+// copyPage writes one page, or nothing if the connection is lost while it is read, so
+// that the page can be read again.
 func (r *resultReader) copyPage(ctx context.Context, out io.Writer, from int64) (next int64, complete bool, err error) {
 	request := &call{
 		method: http.MethodGet,
@@ -102,13 +102,13 @@
 		return from, false, err
 	}
 	defer response.Body.Close()
-	page, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	page, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
 		return from, false, fmt.Errorf("%s: read the answer: %w", request, err)
 	}
 	next, err = strconv.ParseInt(response.Header.Get(nextFromHeader), 10, 64)
 	if err != nil {
-		return from, false, fmt.Errorf("%s: the answer names no next item: %w", request, err)
+		return from, false, fmt.Errorf("%s: the answer has no valid Next-From header: %w", request, err)
 	}
 	if _, err := out.Write(page); err != nil {
 		return from, false, err
--- a/internal/ctl/submit.go
+++ b/internal/ctl/submit.go
@@ -14,7 +14,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Sizes of a job's parts. One line may be as long as a whole part.
+// Sizes of a job's parts. A single line may be longer than defaultPartBytes.
 const (
 	defaultPartItems = 1000
 	defaultPartBytes = 3 << 20
@@ -30,13 +30,13 @@
 		Usage:     "create a job from a file of NDJSON lines {custom_id, url, body}",
 		ArgsUsage: "FILE",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "key", Usage: "the job's own `KEY`; a resend with it finds the same job"},
-			&cli.StringFlag{Name: "service", Usage: "`NAME` of the model or service; the team's own if not given"},
-			&cli.StringFlag{Name: "deadline", Usage: "when the job is due: RFC 3339 `TIME`, or a time from now such as 8h"},
+			&cli.StringFlag{Name: "key", Usage: "unique `KEY` of the job; submitting again with the same key finds the same job"},
+			&cli.StringFlag{Name: "service", Usage: "`NAME` of the model or service; default: the team's first model"},
+			&cli.StringFlag{Name: "deadline", Usage: "when the job is due: an RFC 3339 `TIME`, or a duration from now such as 8h"},
 			&cli.BoolFlag{Name: "non-idempotent", Usage: "run each item at most once"},
-			&cli.IntFlag{Name: "part-items", Value: defaultPartItems, Usage: "most items in one part"},
-			&cli.IntFlag{Name: "part-bytes", Value: defaultPartBytes, Usage: "most bytes in one part; a longer item is a part alone"},
-			&cli.BoolFlag{Name: "wait", Usage: "return once the job has ended"},
+			&cli.IntFlag{Name: "part-items", Value: defaultPartItems, Usage: "maximum number of items in one part"},
+			&cli.IntFlag{Name: "part-bytes", Value: defaultPartBytes, Usage: "maximum size of a part in bytes; a larger item is sent as a part of its own"},
+			&cli.BoolFlag{Name: "wait", Usage: "wait until the job has ended"},
 		},
 		Action: a.jobSubmit,
 	}
@@ -60,11 +60,11 @@
 	key := command.String("key")
 	if key == "" {
 		key = newID()
-		a.note("job key %s; to send the same job again: --key %s", key, key)
+		a.note("job key %s; to submit the same job again: --key %s", key, key)
 	}
 	client := a.client(command)
 	if fromNow && command.IsSet("key") {
-		if deadline, err = deadlineOf(ctx, client, key, deadline); err != nil {
+		if deadline, err = existingDeadline(ctx, client, key, deadline); err != nil {
 			return err
 		}
 	}
@@ -93,10 +93,10 @@
 	return a.print(command, raw, func(w io.Writer) { writeJobs(w, []jobStatus{job}) })
 }
 
-// deadlineOf gives the deadline of the job that has the key already, else the
-// new one. Sent again later, a time from now would be another deadline, and the
-// job that the first sending made would be refused as another job's.
-func deadlineOf(ctx context.Context, client *Client, key, otherwise string) (string, error) {
+// existingDeadline returns the deadline of the existing job with the key, or fallback if
+// there is none. If a job is submitted again with a deadline relative to now, the
+// deadline differs, and the server would refuse it as a different job with the same key.
+func existingDeadline(ctx context.Context, client *Client, key, fallback string) (string, error) {
 	var jobs []jobStatus
 	if _, err := client.get(ctx, jobsPath, nil, &jobs); err != nil {
 		return "", err
@@ -106,10 +106,11 @@
 			return job.Deadline, nil
 		}
 	}
-	return otherwise, nil
+	return fallback, nil
 }
 
-// parseDeadline accepts RFC 3339 or a duration from now, and says which.
+// parseDeadline parses an RFC 3339 time or a duration from now, and reports whether it
+// was a duration.
 func parseDeadline(text string, now time.Time) (deadline string, fromNow bool, err error) {
 	if text == "" {
 		return "", false, nil
@@ -118,13 +119,13 @@
 		return now.Add(duration).UTC().Format(time.RFC3339), true, nil
 	}
 	if _, err := time.Parse(time.RFC3339, text); err != nil {
-		return "", false, &UsageError{Message: fmt.Sprintf("--deadline %q is neither RFC 3339, such as 2026-01-31T06:00:00Z, nor a time from now, such as 8h", text)}
+		return "", false, &UsageError{Message: fmt.Sprintf("--deadline %q is neither RFC 3339, such as 2026-01-31T06:00:00Z, nor a duration from now, such as 8h", text)}
 	}
 	return text, false, nil
 }
 
-// openItems opens a file of items, or standard input if its name is -, and
-// gives its size in bytes; -1 if that is not known.
+// openItems opens a file of items, or standard input if name is -, and returns its size
+// in bytes, or -1 if that is not known.
 func (a *app) openItems(name string) (io.ReadCloser, int64, error) {
 	if name == "-" {
 		return io.NopCloser(a.streams.In), -1, nil
@@ -141,15 +142,15 @@
 	return file, info.Size(), nil
 }
 
-// sendParts sends a file's lines in parts numbered from 0 and returns how many.
-// The cut depends on the file and the flags alone, so that a resend of the same
-// file with the same key makes the same parts, and each is accepted once.
+// sendParts sends the lines of a file in parts numbered from 0 and returns the number
+// of parts. The division depends only on the file and the flags, so that submitting the
+// same file again with the same key sends the same parts, and each is accepted once.
 func (a *app) sendParts(ctx context.Context, command *cli.Command, client *Client, id string, file io.Reader, size int64) (int, error) {
-	cutter := newPartCutter(file, command.Int("part-items"), command.Int("part-bytes"))
-	shown := newProgress(a.streams.Err, "bytes sent", size)
+	splitter := newPartSplitter(file, command.Int("part-items"), command.Int("part-bytes"))
+	bar := newProgress(a.streams.Err, "bytes sent", size)
 	var sent int64
 	for part := 0; ; part++ {
-		body, err := cutter.next()
+		body, err := splitter.next()
 		if err == io.EOF {
 			return part, nil
 		}
@@ -163,35 +164,35 @@
 			body:        body,
 		}, &partResult{})
 		if err != nil {
-			return part, fmt.Errorf("part %d, which begins at line %d: %w", part, cutter.firstLine, err)
+			return part, fmt.Errorf("part %d, which begins at line %d: %w", part, splitter.firstLine, err)
 		}
 		sent += int64(len(body))
-		shown.set(sent)
+		bar.update(sent)
 	}
 }
 
-// partCutter cuts NDJSON lines into parts.
-type partCutter struct {
+// partSplitter divides NDJSON lines into parts.
+type partSplitter struct {
 	lines     *bufio.Scanner
 	maxItems  int
 	maxBytes  int
 	pending   []byte // line that did not fit into the last part
-	line      int    // lines read so far
-	firstLine int    // line, from 1, at which the last part began
+	line      int    // number of lines read so far
+	firstLine int    // number, from 1, of the first line of the last part
 }
 
-func newPartCutter(file io.Reader, maxItems, maxBytes int) *partCutter {
+func newPartSplitter(file io.Reader, maxItems, maxBytes int) *partSplitter {
 	lines := bufio.NewScanner(file)
 	lines.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
-	return &partCutter{lines: lines, maxItems: max(maxItems, 1), maxBytes: maxBytes}
+	return &partSplitter{lines: lines, maxItems: max(maxItems, 1), maxBytes: maxBytes}
 }
 
-// next gives the next part's lines, io.EOF after the last part.
-func (p *partCutter) next() ([]byte, error) {
+// next returns the lines of the next part, or io.EOF after the last part.
+func (p *partSplitter) next() ([]byte, error) {
 	var part bytes.Buffer
 	items := 0
 	for items < p.maxItems {
-		line, err := p.take()
+		line, err := p.nextLine()
 		if err == io.EOF {
 			break
 		}
@@ -215,8 +216,8 @@
 	return part.Bytes(), nil
 }
 
-// take gives the next line that is not blank.
-func (p *partCutter) take() ([]byte, error) {
+// nextLine returns the next line that is not blank, or io.EOF.
+func (p *partSplitter) nextLine() ([]byte, error) {
 	if p.pending != nil {
 		line := p.pending
 		p.pending = nil
--- a/internal/ctl/teams.go
+++ b/internal/ctl/teams.go
@@ -17,7 +17,7 @@
 	parameters := func(more ...cli.Flag) []cli.Flag {
 		return changeFlags(append(more,
 			&cli.StringSliceFlag{Name: "param", Usage: "`NAME=VALUE` of a template parameter; repeatable"},
-			&cli.StringSliceFlag{Name: "team-token", Usage: "bearer `TOKEN` of the team's callers; repeatable; replaces all"},
+			&cli.StringSliceFlag{Name: "team-token", Usage: "bearer `TOKEN` of the team's callers; repeatable; replaces all existing tokens"},
 		)...)
 	}
 	return &cli.Command{
@@ -33,11 +33,11 @@
 			},
 			{
 				Name:      "set",
-				Usage:     "change a team's parameters; those that are not named stay",
+				Usage:     "change a team's parameters; those that are not given keep their values",
 				ArgsUsage: "NAME",
 				Flags: parameters(
 					&cli.StringFlag{Name: "template", Usage: "`NAME` of another template"},
-					&cli.StringSliceFlag{Name: "unset", Usage: "`NAME` of a parameter that takes the template's default again; repeatable"},
+					&cli.StringSliceFlag{Name: "unset", Usage: "`NAME` of a parameter to reset to the template's default; repeatable"},
 				),
 				Action: a.teamSet,
 			},
@@ -50,7 +50,7 @@
 
 func teamPath(name string) string { return teamsPath + "/" + url.PathEscape(name) }
 
-// addParameters adds the NAME=VALUE pairs of --param.
+// addParameters adds the NAME=VALUE pairs of --param to into.
 func addParameters(into map[string]string, pairs []string) error {
 	for _, pair := range pairs {
 		name, value, ok := strings.Cut(pair, "=")
@@ -72,41 +72,41 @@
 		return err
 	}
 	return a.putTeam(ctx, command, args[0], putTeam{
-		change:     newChange(command, 0),
-		Template:   command.String("template"),
-		Parameters: parameters,
-		Tokens:     command.StringSlice("team-token"),
+		changeHeader: newChange(command, 0),
+		Template:     command.String("template"),
+		Parameters:   parameters,
+		Tokens:       command.StringSlice("team-token"),
 	})
 }
 
-// teamSet changes a team on the base of what it reads. A change that another
-// operator makes in between is found by its revision and refused as a conflict.
+// teamSet reads a team and changes it. If another operator changes the team in between,
+// its revision differs and the server refuses the change as a conflict.
 func (a *app) teamSet(ctx context.Context, command *cli.Command) error {
 	args, err := arguments(command, "NAME")
 	if err != nil {
 		return err
 	}
-	var present teamBody
-	if _, err := a.client(command).get(ctx, teamPath(args[0]), nil, &present); err != nil {
+	var current teamBody
+	if _, err := a.client(command).get(ctx, teamPath(args[0]), nil, &current); err != nil {
 		return err
 	}
 	parameters := make(map[string]string)
-	maps.Copy(parameters, present.Parameters)
+	maps.Copy(parameters, current.Parameters)
 	for _, name := range command.StringSlice("unset") {
 		delete(parameters, name)
 	}
 	if err := addParameters(parameters, command.StringSlice("param")); err != nil {
 		return err
 	}
-	template := present.Template
+	template := current.Template
 	if command.IsSet("template") {
 		template = command.String("template")
 	}
 	return a.putTeam(ctx, command, args[0], putTeam{
-		change:     newChange(command, present.Revision),
-		Template:   template,
-		Parameters: parameters,
-		Tokens:     command.StringSlice("team-token"),
+		changeHeader: newChange(command, current.Revision),
+		Template:     template,
+		Parameters:   parameters,
+		Tokens:       command.StringSlice("team-token"),
 	})
 }
 
@@ -115,7 +115,7 @@
 	if err != nil {
 		return err
 	}
-	return a.submit(ctx, command, request, body.change)
+	return a.submit(ctx, command, request, body.changeHeader)
 }
 
 func (a *app) teamDelete(ctx context.Context, command *cli.Command) error {
@@ -123,21 +123,21 @@
 	if err != nil {
 		return err
 	}
-	var present teamBody
+	var current teamBody
 	if !command.IsSet("base-revision") {
-		if _, err := a.client(command).get(ctx, teamPath(args[0]), nil, &present); err != nil {
+		if _, err := a.client(command).get(ctx, teamPath(args[0]), nil, &current); err != nil {
 			return err
 		}
 	}
-	wanted := newChange(command, present.Revision)
+	header := newChange(command, current.Revision)
 	query := url.Values{
-		"base_revision": {strconv.FormatUint(wanted.BaseRevision, 10)},
-		"change_id":     {wanted.ChangeID},
+		"base_revision": {strconv.FormatUint(header.BaseRevision, 10)},
+		"change_id":     {header.ChangeID},
 	}
-	if wanted.Operator != "" {
-		query.Set("operator", wanted.Operator)
+	if header.Operator != "" {
+		query.Set("operator", header.Operator)
 	}
-	return a.submit(ctx, command, &call{method: http.MethodDelete, path: teamPath(args[0]), query: query}, wanted)
+	return a.submit(ctx, command, &call{method: http.MethodDelete, path: teamPath(args[0]), query: query}, header)
 }
 
 func (a *app) teamList(ctx context.Context, command *cli.Command) error {
--- a/internal/ctl/types.go
+++ b/internal/ctl/types.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Bodies of the HTTP APIs, with the fields that slatectl uses.
+// Bodies of the HTTP APIs, reduced to the fields that slatectl uses.
 
 type templateBody struct {
 	Name     string `json:"name"`
@@ -17,20 +17,20 @@
 	Revision   uint64            `json:"revision"`
 }
 
-// change goes with every change of the configuration.
-type change struct {
+// changeHeader holds the fields that are common to all changes of the configuration.
+type changeHeader struct {
 	BaseRevision uint64 `json:"base_revision"`
 	ChangeID     string `json:"change_id"`
 	Operator     string `json:"operator,omitempty"`
 }
 
 type putTemplate struct {
-	change
+	changeHeader
 	Source string `json:"source"`
 }
 
 type putTeam struct {
-	change
+	changeHeader
 	Template   string            `json:"template"`
 	Parameters map[string]string `json:"parameters"`
 	Tokens     []string          `json:"tokens,omitempty"`
@@ -62,7 +62,7 @@
 	Items int `json:"items"`
 }
 
-// Job states that end a job.
+// States of a job that has ended.
 const (
 	jobDone      = "done"
 	jobCancelled = "cancelled"
