--- a/internal/account/ledger.go
+++ b/internal/account/ledger.go
@@ -184,10 +184,10 @@
 
 // item holds the counters of a batch item.
 type item struct {
-	runs   int
-	starts int // those runs that began at the start of the answer
-	done   bool
-	late   bool
+	runs    int
+	starts  int // those runs that began at the start of the answer
+	done    bool
+	overdue bool
 }
 
 func (l *Ledger) applyToItem(id string, in *line) {
@@ -210,7 +210,7 @@
 	case msgItemEnds:
 		if in.Outcome == "succeeded" { // otherwise another gate resumes it, or it has failed
 			found.done = true
-			found.late = found.late || in.Late > 0
+			found.overdue = found.overdue || in.Late > 0
 		}
 	}
 }
@@ -237,7 +237,7 @@
 	if i.runs > 1 {
 		b.SeveralRuns++
 	}
-	if i.late {
+	if i.overdue {
 		b.Late++
 	}
 }
--- a/internal/ctl/caps_test.go
+++ b/internal/ctl/caps_test.go
@@ -13,7 +13,7 @@
 	}
 
 	// A team's credit may be held by a gate other than the first one, so all must be queried.
-	It("asks all gates and lists the teams with the least credit first", func() {
+	It("queries all gates and lists the teams with the least credit first", func() {
 		first := caps(`[{"team":"council","gate":"gate-1","owner":true,"rate_per_second":10,"burst":20,"credit":17.4}]`)
 		second := caps(`[{"team":"council","gate":"gate-2","credit":3},{"team":"parish","gate":"gate-2","owner":true,"rate_per_second":2,"burst":2,"credit":-1.5,"low":true}]`)
 		got := run([]*fakeServer{first, second}, "cap", "list")
@@ -23,7 +23,7 @@
 		Expect(run([]*fakeServer{first, second}, "cap", "list", "--all-gates", "council").out).To(ContainSubstring("standby"))
 	})
 
-	It("lists what answered and says that not all did", func() {
+	It("lists the answers and reports that not all gates answered", func() {
 		unresponsive := newFakeServer(map[string]http.HandlerFunc{"GET /v1/caps": dropConnection})
 		got := run([]*fakeServer{unresponsive, caps(`[{"team":"council","gate":"gate-1","owner":true,"credit":5}]`)}, "cap", "list")
 		Expect(got.code).To(Equal(0))
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -175,8 +175,8 @@
 	return nil, refusal
 }
 
-// lostAnswer returns the error for a call without an answer. A call with noResend set is retried
-// only if no connection was established.
+// lostAnswer returns the error for a call without an answer. A call with noResend set
+// is retried only if no connection was established.
 func (c *Client) lostAnswer(ctx context.Context, request *call, err error) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -84,7 +84,7 @@
 		if !d.beginRequest() {
 			w.Header().Set("Connection", "close")
 			apierr.WriteHTTP(w, apierr.New(apierr.Unavailable, reasonDraining,
-				"ask /v1/entries of another gate for gates to use", "this gate is shutting down").WithRetryAfter(time.Millisecond))
+				"get a gate from /v1/entries of another one and retry there", "this gate is shutting down").WithRetryAfter(time.Millisecond))
 			return
 		}
 		defer d.endRequest()
--- a/internal/daemon/sitecontrol.go
+++ b/internal/daemon/sitecontrol.go
@@ -93,8 +93,8 @@
 	return c, nil
 }
 
-// addresses returns the VMs to ask for the leader of a group: the known members,
-// then the seeds.
+// addresses returns the addresses at which to look for a group's leader: those of the
+// known members, then the seeds.
 func (c *siteControl) addresses(seeds []string) []string {
 	var addresses []string
 	for _, m := range c.keeper.host.Known() {
--- a/internal/daemon/sitereload.go
+++ b/internal/daemon/sitereload.go
@@ -38,7 +38,7 @@
 	s.reloaded = fresh
 }
 
-// RefuseReload logs and counts changed settings that are invalid. The daemon keeps
+// RejectReload logs and counts changed settings that are invalid. The daemon keeps
 // the settings it has.
 func (s *Site) RefuseReload(err error) {
 	s.metrics.Count("settings.refused")
--- a/internal/settings/numbers.go
+++ b/internal/settings/numbers.go
@@ -65,13 +65,13 @@
 	}
 }
 
-type fractionEntry struct {
+type floatEntry struct {
 	key   string
 	value float64
 }
 
-func (s *Settings) fractions() []fractionEntry {
-	return []fractionEntry{
+func (s *Settings) floats() []floatEntry {
+	return []floatEntry{
 		{"limits.team_overshoot", s.Limits.TeamOvershoot},
 		{"limits.team_slack", s.Limits.TeamSlack},
 	}
@@ -83,7 +83,7 @@
 			c.add(entry.key, entry.value.String(), "too short", "set it to at least "+minDuration.String())
 		}
 	}
-	for _, entry := range s.fractions() {
+	for _, entry := range s.floats() {
 		if entry.value < 0 {
 			c.add(entry.key, fmt.Sprint(entry.value), "must not be negative", "set it to 0 or above")
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -142,7 +142,7 @@
 type Orders struct {
 	Enabled             bool          `toml:"enabled"`                // if false, engines keep the models they have
 	Lease               time.Duration `toml:"lease"`                  // time without contact to the ordering gate until another takes over
-	LongestOrder        time.Duration `toml:"longest_order"`          // time after which an order that has not taken effect never will
+	LongestOrder        time.Duration `toml:"longest_order"`          // time until an order has taken effect or is regarded as failed
 	StoreBytesPerSecond int           `toml:"store_bytes_per_second"` // bandwidth limit of the weight store for this place
 	WeightBytes         int           `toml:"weight_bytes"`           // size of a model's weights
 	MaxModels           int           `toml:"max_models"`             // models that an engine can hold at once
