--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -68,7 +68,7 @@
 // Entries returns the gates that a caller in the place should use.
 func (f *fleetView) Entries(place string) (directory.Answer, error) {
 	input := directory.Input{
-		Serving:     f.serving != nil && f.serving() && !f.fleet.Alone(),
+		Serving:     f.serving != nil && f.serving() && !f.fleet.Isolated(),
 		CallerPlace: place,
 		Members:     f.fleet.Members(),
 		Areas:       f.fleet.Areas(),
--- a/internal/daemon/gate.go
+++ b/internal/daemon/gate.go
@@ -74,7 +74,7 @@
 		DefaultTimeout:   s.Timeouts.Request,
 	})
 	g.exchange.Attach(g.router)
-	session := client.NewSession(job.Run{VM: s.VM.Name, Started: time.Now().UnixMilli()})
+	session := client.NewSession(job.GateRun{VM: s.VM.Name, Started: time.Now().UnixMilli()})
 	claims := gate.NewClaims(session, d.log)
 	g.front = gate.NewFront(g.access, g.router, claims, d.metrics, d.log, int64(s.Limits.MaxBodyBytes))
 	g.runner = batch.New(batch.Options{
--- a/internal/daemon/keeper.go
+++ b/internal/daemon/keeper.go
@@ -45,7 +45,7 @@
 		Address: s.Advertise.Peers,
 		Folder:  s.VM.DataFolder,
 		Groups:  uint32(s.Quorum.JobGroups) + 1,
-		NewMachine: func(group uint32, folder string) (replica.Machine, error) {
+		NewStateMachine: func(group uint32, folder string) (replica.StateMachine, error) {
 			if group == keeperapi.ConfigGroup {
 				return config, nil
 			}
--- a/internal/daemon/sitecontrol.go
+++ b/internal/daemon/sitecontrol.go
@@ -61,11 +61,11 @@
 	opened, err := openKeeper(s, site.log.Logger, site.metrics, func(config *replica.Config) {
 		config.Address = s.Listen.Peers
 		config.Seeds = s.SeedPeers()
-		config.Found = s.Control.Found
+		config.Bootstrap = s.Control.Found
 		config.TargetVoters = targetVoters(s.Control.Tolerance)
-		config.LeastVoters = 2*s.Control.Tolerance + 1
+		config.MinVoters = 2*s.Control.Tolerance + 1
 		config.Class = memberClass(s)
-		config.Preferred = preferredClass
+		config.PreferredClass = preferredClass
 	})
 	if err != nil {
 		return nil, &DiskError{Folder: s.VM.DataFolder, Cause: err}
@@ -76,8 +76,8 @@
 	}
 	keepers := keeperclient.NewDynamic(site.calls, func() []string { return c.addresses(s.SeedPeers()) })
 	keepers.CountRetries(site.metrics)
-	keepers.SetPatience(siteLeaderTimeout)
-	keepers.SetHint(opened.leaderAddress)
+	keepers.SetFirstAttemptTimeout(siteLeaderTimeout)
+	keepers.SetLeaderHint(opened.leaderAddress)
 	c.service = control.New(control.Options{
 		VM: s.VM.Name, Place: s.VM.Place, Region: s.VM.Region,
 		Address: s.Listen.Peers, Control: s.Listen.Control, Folder: s.VM.DataFolder, Seeds: s.SeedPeers(),
--- a/internal/daemon/sitegate.go
+++ b/internal/daemon/sitegate.go
@@ -99,13 +99,13 @@
 	g.router = proxy.New(proxy.Options{
 		Self: s.VM.Name, Place: s.VM.Place, Seed: maphash.String(maphash.MakeSeed(), s.VM.Name),
 		Route: route.Config{
-			EntryLifetime: noExpiry,
-			MaxQueue:      s.Limits.MaxQueue,
-			TokenTimeout:  s.Timeouts.StreamIdle,
-			StallMin:      minStreamStall,
-			PlaceWait:     reservationWait,
-			HedgeMin:      -1,       // no hedging: a second run costs more than it saves
-			ProbeAfter:    noExpiry, // a replica is probed only when all requests of this gate there are idle
+			EntryLifetime:   noExpiry,
+			MaxQueue:        s.Limits.MaxQueue,
+			TokenTimeout:    s.Timeouts.StreamIdle,
+			StallMin:        minStreamStall,
+			ReservationWait: reservationWait,
+			HedgeMin:        -1,       // no hedging: a second run costs more than it saves
+			ProbeAfter:      noExpiry, // a replica is probed only when all requests of this gate there are idle
 		},
 		Metrics:          site.metrics,
 		Log:              site.log.Logger,
@@ -119,7 +119,7 @@
 	g.exchange.Attach(g.router)
 	keepers := keeperclient.NewDynamic(site.calls, g.follower.Keepers)
 	keepers.CountRetries(site.metrics)
-	keepers.SetPatience(siteLeaderTimeout)
+	keepers.SetFirstAttemptTimeout(siteLeaderTimeout)
 	teamCredit, err := credit.New(credit.Options{
 		VM: s.VM.Name, Listen: s.Listen.Peers, Fleet: g.follower, Metrics: site.metrics, Log: site.log.Logger,
 		Tolerance: limit.Tolerance{Window: s.Limits.TeamWindow, Overshoot: s.Limits.TeamOvershoot, Slack: s.Limits.TeamSlack},
@@ -139,7 +139,7 @@
 		Lifetime: s.Directory.AnswerLifetime, Limit: s.Directory.MaxEntries, Metrics: site.metrics,
 	}, directory.New(uint64(time.Now().UnixMilli()), random))
 	g.runner = batch.New(batch.Options{
-		Session:     keepers.NewSession(job.Run{VM: s.VM.Name, Started: started}),
+		Session:     keepers.NewSession(job.GateRun{VM: s.VM.Name, Started: started}),
 		Router:      g.router,
 		Log:         site.log.Logger,
 		Route:       g.jobs.Route,
