--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -69,7 +69,7 @@
 	}{
 		{account.InTime, func(id string) { g.answeredAttempt(id, 1, "i-1", "0s", "50ms", "30ms") }},
 		{account.Queued, func(id string) { g.answeredAttempt(id, 2, "i-1", "400ms", "450ms", "30ms") }},
-		{account.AtReplica, func(id string) { g.answeredAttempt(id, 3, "i-3", "10ms", "400ms", "30ms") }},
+		{account.WaitedAtReplica, func(id string) { g.answeredAttempt(id, 3, "i-3", "10ms", "400ms", "30ms") }},
 		{account.Stalled, func(id string) { g.answeredAttempt(id, 4, "i-3", "0s", "40ms", "300ms") }},
 		{account.ReplicaDown, func(id string) {
 			g.attempt(id, 5, "i-2", "0s")
@@ -81,7 +81,7 @@
 			g.failed(id, 7, "i-2", "silent", "2s")
 			g.refused(id, "upstream_failed", "2.1s")
 		}},
-		{account.Cut, func(id string) {
+		{account.BrokenOff, func(id string) {
 			g.attempt(id, 8, "i-3", "0s")
 			g.line("answer broken off", fmt.Sprintf(`"request_id":%q,"reason":"upstream_failed","after":"300ms"`, id))
 		}},
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestReplicasAreNamed(t *testing.T) {
+func TestReportNamesReplicas(t *testing.T) {
 	g := newGateLog()
 	g.routed("q")
 	g.attempt("q", 1, "i-dark", "0s")
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestTheReportIsWritten(t *testing.T) {
+func TestReportIsWritten(t *testing.T) {
 	g := newGateLog()
 	g.routed("in-time")
 	g.answeredAttempt("in-time", 1, "i-1", "0s", "50ms", "30ms")
@@ -147,7 +147,7 @@
 // A stopped gate returns an item and another gate completes it. The logs may be read
 // in any order: reading the second gate's log first used to count the item both as
 // ended and, because of the first gate's lines, as unfinished.
-func TestItemsAreJoinedOverGates(t *testing.T) {
+func TestItemsAreJoinedAcrossGates(t *testing.T) {
 	first, second := newGateLog(), newGateLog()
 	first.attempt("job/item", 1, "i-1", "0s")
 	first.line("attempt stopped", `"request_id":"job/item","attempt":1,"reason":"preempted","after":"80ms"`)
@@ -175,7 +175,7 @@
 
 // Logs in production may contain an incomplete last line, lines of other programs and
 // lines longer than any of slatewayd's. These are counted and listed.
-func TestForeignAndBrokenLinesAreCountedAndNamed(t *testing.T) {
+func TestForeignAndBrokenLinesAreCountedAndListed(t *testing.T) {
 	g := newGateLog()
 	g.routed("q")
 	g.text.WriteString("panic: not a log line\n")
@@ -198,7 +198,7 @@
 
 // Only requests that have not ended are kept in memory, so that large logs can be
 // read.
-func TestEndedRequestsAreNotHeld(t *testing.T) {
+func TestEndedRequestsAreNotKept(t *testing.T) {
 	g := newGateLog()
 	for i := range 2000 {
 		id := fmt.Sprint("q", i)
@@ -214,7 +214,7 @@
 	}
 }
 
-func TestThePlotIsDrawn(t *testing.T) {
+func TestPlotIsDrawn(t *testing.T) {
 	g := newGateLog()
 	for i, pause := range []string{"300ms", "20ms", "400ms"} {
 		id := fmt.Sprint("q", i)
--- a/internal/account/cause.go
+++ b/internal/account/cause.go
@@ -10,18 +10,18 @@
 
 // Causes. The cause of a refused request is RefusedPrefix followed by the reason.
 const (
-	InTime       Cause = "in time"
-	CameLate     Cause = "its caller had tried for longer than the target before"
-	Queued       Cause = "waited in the gate's queue"
-	ReplicaDown  Cause = "sent to a replica that did not take a connection"
-	ReplicaDied  Cause = "held by a replica that died or fell silent"
-	ReplicaFull  Cause = "declined by a replica without room"
-	ReplicaError Cause = "failed at a replica"
-	AtReplica    Cause = "waited at the replica for its first event"
-	Stalled      Cause = "paused between two events"
-	Cut          Cause = "broken off"
-	CallerLeft   Cause = "its caller left"
-	GateLost     Cause = "its gate ended"
+	InTime          Cause = "in time"
+	CallerWaited    Cause = "its caller had tried for longer than the target before"
+	Queued          Cause = "waited in the gate's queue"
+	ReplicaDown     Cause = "sent to a replica that did not take a connection"
+	ReplicaDied     Cause = "held by a replica that died or fell silent"
+	ReplicaFull     Cause = "declined by a replica without room"
+	ReplicaError    Cause = "failed at a replica"
+	WaitedAtReplica Cause = "waited at the replica for its first event"
+	Stalled         Cause = "paused between two events"
+	BrokenOff       Cause = "broken off"
+	CallerLeft      Cause = "its caller left"
+	GateLost        Cause = "its gate ended"
 )
 
 // RefusedPrefix is the prefix of the cause of a request that a gate refused.
@@ -91,7 +91,7 @@
 
 // longestDelay returns the longest part of the time until the first event.
 func (r *request) longestDelay(first time.Duration) attribution {
-	longest := attribution{cause: CameLate, took: r.waited}
+	longest := attribution{cause: CallerWaited, took: r.waited}
 	consider := func(v attribution) {
 		if v.took > longest.took {
 			longest = v
@@ -103,7 +103,7 @@
 		rest -= attempt.took
 		consider(attempt)
 	}
-	consider(attribution{cause: AtReplica, replica: r.replica(), took: rest})
+	consider(attribution{cause: WaitedAtReplica, replica: r.replica(), took: rest})
 	return longest
 }
 
--- a/internal/account/ledger.go
+++ b/internal/account/ledger.go
@@ -119,7 +119,7 @@
 	case msgRefused:
 		p.close(key, r, r.attributeFailure(Cause(RefusedPrefix+in.Reason), time.Duration(in.After)))
 	case msgBrokenOff:
-		p.close(key, r, r.attributeFailure(Cut, time.Duration(in.After)))
+		p.close(key, r, r.attributeFailure(BrokenOff, time.Duration(in.After)))
 	case msgLeft:
 		p.close(key, r, r.attributeFailure(CallerLeft, time.Duration(in.After)))
 	}
--- a/internal/codec/pack_test.go
+++ b/internal/codec/pack_test.go
@@ -8,7 +8,7 @@
 )
 
 // A compressed value that would not fit into memory must be rejected.
-func TestUnpackRefusesWhatIsTooLarge(t *testing.T) {
+func TestUnpackRejectsTooLargeValues(t *testing.T) {
 	value := strings.Repeat("a", 100_000)
 	packed, err := codec.Pack(value)
 	if err != nil || len(packed) > 1000 {
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -149,7 +149,7 @@
 
 // Mount registers the procedures for gates and other control VMs with mux.
 func (s *Service) Mount(mux *http.ServeMux) {
-	rpc.HandlePacked(mux, controlapi.Follow, controlapi.MaxMessageBytes, s.follow)
+	rpc.HandleUncompressed(mux, controlapi.Follow, controlapi.MaxMessageBytes, s.follow)
 	rpc.Handle(mux, controlapi.Share, controlapi.MaxMessageBytes, s.share)
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -37,7 +37,7 @@
 func New(s settings.Settings, log *zap.Logger) (*Daemon, error) {
 	d := &Daemon{settings: s, log: log, metrics: telemetry.NewMetrics()}
 	d.calls = rpc.NewClient(peerClient(&s, d.metrics))
-	if s.Is(settings.RoleKeeper) {
+	if s.HasRole(settings.RoleKeeper) {
 		keeper, err := newKeeperRole(&s, log, d.metrics)
 		if err != nil {
 			return nil, err
@@ -50,7 +50,7 @@
 	}
 	d.fleet = members
 	d.view = newFleetView(&d.settings, members, d.keeperHost())
-	if s.Is(settings.RoleGate) {
+	if s.HasRole(settings.RoleGate) {
 		d.gate = newGateRole(d)
 		d.view.serving = d.gate.serving
 	}
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -35,9 +35,9 @@
 	vm := member.VM{
 		Name: s.VM.Name, Place: s.VM.Place, Region: s.VM.Region,
 		Peers: s.Advertise.Peers, Operators: s.Advertise.Operators,
-		Keeper: s.Is(settings.RoleKeeper),
+		Keeper: s.HasRole(settings.RoleKeeper),
 	}
-	if s.Is(settings.RoleGate) {
+	if s.HasRole(settings.RoleGate) {
 		vm.Callers = s.Advertise.Callers
 	}
 	return fleet.New(fleet.Options{
--- a/internal/daemon/site.go
+++ b/internal/daemon/site.go
@@ -70,14 +70,14 @@
 func NewSite(s settings.Settings, edge Edge, log *telemetry.Log) (*Site, error) {
 	site := &Site{settings: s, reloaded: s, edge: edge, log: log, metrics: telemetry.NewMetrics()}
 	site.calls = rpc.NewClient(peerClient(&s, site.metrics))
-	if s.Is(settings.RoleControl) || s.Is(settings.RoleStore) {
+	if s.HasRole(settings.RoleControl) || s.HasRole(settings.RoleStore) {
 		role, err := newSiteControl(site)
 		if err != nil {
 			return nil, err
 		}
 		site.control = role
 	}
-	if s.Is(settings.RoleGate) {
+	if s.HasRole(settings.RoleGate) {
 		role, err := newSiteGate(site)
 		if err != nil {
 			return nil, err
--- a/internal/daemon/sitecontrol.go
+++ b/internal/daemon/sitecontrol.go
@@ -40,7 +40,7 @@
 const classStore = "store"
 
 func memberClass(s *settings.Settings) string {
-	if s.Is(settings.RoleControl) {
+	if s.HasRole(settings.RoleControl) {
 		return control.ClassControl
 	}
 	return classStore
@@ -71,7 +71,7 @@
 		return nil, &DiskError{Folder: s.VM.DataFolder, Cause: err}
 	}
 	c := &siteControl{keeper: opened}
-	if !s.Is(settings.RoleControl) {
+	if !s.HasRole(settings.RoleControl) {
 		return c, nil
 	}
 	keepers := keeperclient.NewDynamic(site.calls, func() []string { return c.addresses(s.SeedPeers()) })
--- a/internal/daemon/sitereload.go
+++ b/internal/daemon/sitereload.go
@@ -40,7 +40,7 @@
 
 // RejectReload logs and counts changed settings that are invalid. The daemon keeps
 // the settings it has.
-func (s *Site) RefuseReload(err error) {
+func (s *Site) RejectReload(err error) {
 	s.metrics.Count("settings.refused")
 	s.log.Error("changed settings rejected, the previous ones stay in force", zap.Error(err))
 }
--- a/internal/daemon/standstill_test.go
+++ b/internal/daemon/standstill_test.go
@@ -7,7 +7,7 @@
 
 // A VM that was frozen for six seconds must log that it was paused. Otherwise the
 // answers that failed then are blamed on the replicas.
-func TestStandstillIsSeenByEitherClock(t *testing.T) {
+func TestPauseIsDetectedByEitherClock(t *testing.T) {
 	last := time.Now()
 	for _, c := range []struct {
 		name      string
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -47,7 +47,7 @@
 
 // HandleUncompressed is like Handle but does not compress the responses. It is for
 // responses whose large fields are already compressed, once for all callers.
-func HandlePacked[Req, Res any](mux *http.ServeMux, p Procedure[Req, Res], maxBytes int, fn func(context.Context, *Req) (*Res, error)) {
+func HandleUncompressed[Req, Res any](mux *http.ServeMux, p Procedure[Req, Res], maxBytes int, fn func(context.Context, *Req) (*Res, error)) {
 	handle(mux, p, maxBytes, math.MaxInt, fn)
 }
 
--- a/internal/settings/changes_test.go
+++ b/internal/settings/changes_test.go
@@ -11,7 +11,7 @@
 
 // A reload reports each key that differs and whether its change is applied at once.
 // A key that only matters at the first start is not reported.
-func TestChangesNameEachKeyAndWhetherItIsLive(t *testing.T) {
+func TestChangesReportEachKeyAndWhetherItIsLive(t *testing.T) {
 	g := NewWithT(t)
 	before, err := settings.Parse(controlVM)
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -64,9 +64,9 @@
 		}
 	}
 	switch {
-	case s.VM.DataFolder == "" && (s.Is(RoleControl) || s.Is(RoleStore)):
+	case s.VM.DataFolder == "" && (s.HasRole(RoleControl) || s.HasRole(RoleStore)):
 		c.add("vm.data_folder", "", "missing, but a control or store VM stores its state there", "set it to a folder on a persistent disk")
-	case s.VM.DataFolder == "" && s.Is(RoleKeeper):
+	case s.VM.DataFolder == "" && s.HasRole(RoleKeeper):
 		c.add("vm.data_folder", "", "missing, but a keeper stores its state there", "set it to a folder on a persistent disk")
 	case s.VM.DataFolder != "" && !filepath.IsAbs(s.VM.DataFolder):
 		c.add("vm.data_folder", quote(s.VM.DataFolder), "a relative path", "write the absolute path")
@@ -76,13 +76,13 @@
 // checkControl checks the settings of a VM at a site with control VMs.
 func (s *Settings) checkControl(c *checker) {
 	needed := []addressKey{{"listen.peers", s.Listen.Peers}, {"listen.metrics", s.Listen.Metrics}}
-	if s.Is(RoleGate) {
+	if s.HasRole(RoleGate) {
 		needed = append(needed, addressKey{"listen.callers", s.Listen.Callers}, addressKey{"listen.readiness", s.Listen.Readiness})
 	}
-	if s.Is(RoleControl) {
+	if s.HasRole(RoleControl) {
 		needed = append(needed, addressKey{"listen.control", s.Listen.Control})
 	}
-	if s.Is(RoleControl) || s.Is(RoleGate) {
+	if s.HasRole(RoleControl) || s.HasRole(RoleGate) {
 		needed = append(needed, addressKey{"listen.directory", s.Listen.Directory})
 	}
 	var listening []listener
@@ -95,7 +95,7 @@
 	for i, seed := range s.Control.Seeds {
 		c.address(addressKey{fmt.Sprintf("control.seeds[%d]", i), seed})
 	}
-	if s.Is(RoleKeeper) {
+	if s.HasRole(RoleKeeper) {
 		c.add("vm.roles", quote(string(RoleKeeper)), "the site has control VMs, which hold the replicated state", "write \"control\"")
 	}
 	if s.Control.Tolerance < 0 {
@@ -105,7 +105,7 @@
 
 func (s *Settings) checkAddresses(c *checker) {
 	needed := []addressKey{{"listen.operators", s.Listen.Operators}, {"listen.peers", s.Listen.Peers}}
-	if s.Is(RoleGate) || s.Listen.Callers != "" {
+	if s.HasRole(RoleGate) || s.Listen.Callers != "" {
 		needed = append(needed, addressKey{"listen.callers", s.Listen.Callers})
 	}
 	var listening []listener
@@ -177,7 +177,7 @@
 }
 
 func (s *Settings) checkOwnKeeper(c *checker, key string, keeper Keeper) {
-	if !s.Is(RoleKeeper) {
+	if !s.HasRole(RoleKeeper) {
 		c.add(key+".vm", quote(keeper.VM), "is this VM, which does not have the role keeper", "add \"keeper\" to vm.roles or remove the entry")
 	}
 	if keeper.Peers != s.Advertise.Peers {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -199,7 +199,7 @@
 }
 
 // HasRole reports whether the VM has the role.
-func (s *Settings) Is(role Role) bool { return slices.Contains(s.VM.Roles, role) }
+func (s *Settings) HasRole(role Role) bool { return slices.Contains(s.VM.Roles, role) }
 
 // defaults returns the values of keys that are not in the file.
 func defaults() Settings {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -33,7 +33,7 @@
 	g := NewWithT(t)
 	parsed, err := settings.Parse(smallSite)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(parsed.Is(settings.RoleKeeper)).To(BeTrue())
+	g.Expect(parsed.HasRole(settings.RoleKeeper)).To(BeTrue())
 	g.Expect(parsed.Advertise.Callers).To(Equal("10.0.0.1:8080"))
 	g.Expect(parsed.Member.Seeds).To(ConsistOf("10.0.0.1:8082"))
 	g.Expect(parsed.Config.WhenAlone).To(Equal(settings.Refuse))
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestDataFolderMustTakeFiles(t *testing.T) {
+func TestDataFolderMustBeWritable(t *testing.T) {
 	g := NewWithT(t)
 	folder := t.TempDir()
 	g.Expect(load(t, folder)).To(Succeed())
--- a/internal/sockets/again_test.go
+++ b/internal/sockets/again_test.go
@@ -16,7 +16,7 @@
 // The first attempts get no answer, as when a SYN packet reaches a VM just before it
 // has started and is retransmitted only after a second. A later attempt must succeed
 // sooner.
-func TestDialAgainBeginsAnotherConnection(t *testing.T) {
+func TestDialHedgedStartsAnotherAttempt(t *testing.T) {
 	var tries atomic.Int32
 	local, remote := net.Pipe()
 	defer remote.Close()
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestDialAgainEnds(t *testing.T) {
+func TestDialHedgedEnds(t *testing.T) {
 	t.Run("with an error of the other side", func(t *testing.T) {
 		refused := errors.New("refused")
 		_, err := sockets.DialHedged(context.Background(), delay, func(context.Context) (net.Conn, error) { return nil, refused })
@@ -72,7 +72,7 @@
 
 // A connection that is opened after another attempt has succeeded must be closed.
 // Otherwise it would stay open forever.
-func TestDialAgainClosesTheOthers(t *testing.T) {
+func TestDialHedgedClosesOtherConnections(t *testing.T) {
 	var tries atomic.Int32
 	slow := &closable{closed: make(chan struct{})}
 	won := &closable{closed: make(chan struct{})}
--- a/internal/sockets/bound_test.go
+++ b/internal/sockets/bound_test.go
@@ -10,7 +10,7 @@
 )
 
 // A listener must not use up the file descriptors of its process.
-func TestABoundListenerRefusesOnceFullAndTakesAgain(t *testing.T) {
+func TestLimitedListenerRefusesWhenFullAndReusesFreedSlots(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/telemetry/writer_test.go
+++ b/internal/telemetry/writer_test.go
@@ -31,7 +31,7 @@
 // If the reader of a daemon's output stops reading, logging must not block, the
 // memory for pending lines must stay limited, and the log must report how many lines
 // were dropped.
-func TestLogNeverBlocksAndCountsWhatItDrops(t *testing.T) {
+func TestLogNeverBlocksAndCountsDroppedLines(t *testing.T) {
 	out := &blockingWriter{release: make(chan struct{})}
 	w := newBoundedWriter(out)
 	line := []byte(strings.Repeat("x", 1000) + "\n")
