--- a/client/client_test.go
+++ b/client/client_test.go
@@ -19,24 +19,24 @@
 	"slateway.example/slateway/client"
 )
 
-// fakeGate answers for entries and requests as a gate does.
+// fakeGate serves entries and requests as a gate does.
 type fakeGate struct {
 	*httptest.Server
-	entries  atomic.Pointer[[]string]
-	lifetime time.Duration
-	asked    atomic.Int32
-	requests atomic.Int32
-	answer   http.HandlerFunc
+	entries         atomic.Pointer[[]string]
+	lifetime        time.Duration
+	entriesRequests atomic.Int32
+	requests        atomic.Int32
+	handler         http.HandlerFunc
 }
 
-func newGate(t *testing.T, answer http.HandlerFunc) *fakeGate {
+func newFakeGate(t *testing.T, handler http.HandlerFunc) *fakeGate {
 	t.Helper()
-	g := &fakeGate{answer: answer, lifetime: time.Hour}
+	g := &fakeGate{handler: handler, lifetime: time.Hour}
 	mux := http.NewServeMux()
 	mux.HandleFunc("/v1/entries", g.serveEntries)
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
 		g.requests.Add(1)
-		g.answer(w, r)
+		g.handler(w, r)
 	})
 	g.Server = httptest.NewServer(mux)
 	t.Cleanup(g.Close)
@@ -45,7 +45,7 @@
 
 func (g *fakeGate) address() string { return strings.TrimPrefix(g.URL, "http://") }
 
-func (g *fakeGate) list(gates ...*fakeGate) {
+func (g *fakeGate) setEntries(gates ...*fakeGate) {
 	var addresses []string
 	for _, gate := range gates {
 		addresses = append(addresses, gate.address())
@@ -54,7 +54,7 @@
 }
 
 func (g *fakeGate) serveEntries(w http.ResponseWriter, _ *http.Request) {
-	g.asked.Add(1)
+	g.entriesRequests.Add(1)
 	var entries []client.Entry
 	for _, address := range *g.entries.Load() {
 		entries = append(entries, client.Entry{Address: address})
@@ -62,20 +62,20 @@
 	_ = json.NewEncoder(w).Encode(map[string]any{"entries": entries, "lifetime_ms": g.lifetime.Milliseconds(), "revision": 1})
 }
 
-func say(text string) http.HandlerFunc {
+func respondWith(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		_, _ = fmt.Fprintf(w, "%s %s %s", text, r.Header.Get("Authorization"), body)
 	}
 }
 
-// breakOff reads the request and closes the connection without an answer.
-func breakOff(_ http.ResponseWriter, r *http.Request) {
+// abortRequest reads the request and closes the connection without a response.
+func abortRequest(_ http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	panic(http.ErrAbortHandler)
 }
 
-func connect(t *testing.T, gates ...*fakeGate) *client.Client {
+func newClient(t *testing.T, gates ...*fakeGate) *client.Client {
 	t.Helper()
 	options := client.Options{Token: "secret"}
 	for _, gate := range gates {
@@ -106,14 +106,14 @@
 	return string(text), err
 }
 
-// A gate is killed between two requests of a caller that keeps its address. The
-// caller must get its answer from the next gate and see no error.
+// A gate is killed between two requests of a caller that has cached its address. The
+// caller must get its answer from the next gate without an error.
 func TestGateKilledBetweenRequests(t *testing.T) {
 	g := NewWithT(t)
-	one, two := newGate(t, say("one")), newGate(t, say("two"))
-	one.list(one, two)
-	two.list(two)
-	c := connect(t, one)
+	one, two := newFakeGate(t, respondWith("one")), newFakeGate(t, respondWith("two"))
+	one.setEntries(one, two)
+	two.setEntries(two)
+	c := newClient(t, one)
 	g.Expect(post(c, "/services/plates", "a")).To(Equal("one Bearer secret a"))
 	one.Close()
 	for range 3 {
@@ -121,9 +121,9 @@
 	}
 }
 
-// A gate reads a request and dies before it answers: the request may have run.
-// A plate confirmation sent again would be confirmed twice; a chat may be sent
-// again, and so may whatever has a key that the gates run once.
+// If a gate dies after it has read a request, the request may have run. Resending a
+// plate confirmation would confirm it twice. A chat request may be resent, and so may
+// a request with a key that the gates run at most once.
 func TestResendsOnlyWhatMayRunTwice(t *testing.T) {
 	cases := []struct {
 		name, path string
@@ -140,10 +140,10 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
-			broken, good := newGate(t, breakOff), newGate(t, say("good"))
-			broken.list(broken, good)
-			good.list(good)
-			text, err := post(connect(t, broken), test.path, "x", test.header...)
+			broken, good := newFakeGate(t, abortRequest), newFakeGate(t, respondWith("good"))
+			broken.setEntries(broken, good)
+			good.setEntries(good)
+			text, err := post(newClient(t, broken), test.path, "x", test.header...)
 			g.Expect(broken.requests.Load()).To(Equal(int32(1)))
 			if test.again {
 				g.Expect(err).NotTo(HaveOccurred())
@@ -158,8 +158,9 @@
 	}
 }
 
-// A gate that drains or is cut off says that it did not run the request; the
-// next one is asked. A refusal that every gate would give is passed on at once.
+// A gate that drains or has lost contact refuses a request without running it, and
+// the client must try the next gate. A refusal that every gate would give must be
+// returned to the caller at once.
 func TestRefusals(t *testing.T) {
 	refuse := func(reason string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
@@ -168,36 +169,36 @@
 		}
 	}
 	g := NewWithT(t)
-	draining, good := newGate(t, refuse("draining")), newGate(t, say("good"))
-	draining.list(draining, good)
-	good.list(good)
-	g.Expect(post(connect(t, draining), "/services/plates", "x")).To(HavePrefix("good"))
-
-	empty := newGate(t, refuse("no_ready_upstream"))
-	empty.list(empty, good)
-	g.Expect(post(connect(t, empty), "/services/plates", "x")).To(ContainSubstring("no_ready_upstream"))
+	draining, good := newFakeGate(t, refuse("draining")), newFakeGate(t, respondWith("good"))
+	draining.setEntries(draining, good)
+	good.setEntries(good)
+	g.Expect(post(newClient(t, draining), "/services/plates", "x")).To(HavePrefix("good"))
+
+	empty := newFakeGate(t, refuse("no_ready_upstream"))
+	empty.setEntries(empty, good)
+	g.Expect(post(newClient(t, empty), "/services/plates", "x")).To(ContainSubstring("no_ready_upstream"))
 }
 
-// A gate drains: it stops when all answers that name it have run out. A caller
-// that used an answer for longer would meet a closed port.
+// A draining gate stops once all entry lists that contain it have expired. A caller
+// that used a list for longer would connect to a closed port.
 func TestAnswersAreNotKeptPastTheirLifetime(t *testing.T) {
 	g := NewWithT(t)
-	one, two := newGate(t, say("one")), newGate(t, say("two"))
+	one, two := newFakeGate(t, respondWith("one")), newFakeGate(t, respondWith("two"))
 	one.lifetime = time.Millisecond
-	one.list(one)
-	two.list(two)
-	c := connect(t, one)
+	one.setEntries(one)
+	two.setEntries(two)
+	c := newClient(t, one)
 	g.Expect(post(c, "/v1/x", "")).To(HavePrefix("one"))
-	one.list(two)
-	time.Sleep(2 * time.Millisecond) // longer only makes the answer older
+	one.setEntries(two)
+	time.Sleep(2 * time.Millisecond) // a longer sleep is safe: the entries must have expired
 	g.Expect(post(c, "/v1/x", "")).To(HavePrefix("two"))
-	g.Expect(one.asked.Load()).To(Equal(int32(2)))
+	g.Expect(one.entriesRequests.Load()).To(Equal(int32(2)))
 }
 
 func TestNoGateReachable(t *testing.T) {
 	g := NewWithT(t)
-	gone := newGate(t, nil)
-	c := connect(t, gone)
+	gone := newFakeGate(t, nil)
+	c := newClient(t, gone)
 	gone.Close()
 	_, err := post(c, "/services/plates", "x")
 	var unreachable *client.UnreachableError
@@ -207,7 +208,8 @@
 	g.Expect(err).To(MatchError(ContainSubstring("is not IP:port")))
 }
 
-// A client library that others wrote works unchanged but for its base address.
+// A third-party OpenAI client library must work with only its base address and HTTP
+// client changed.
 func TestOpenAILibrary(t *testing.T) {
 	g := NewWithT(t)
 	stream := func(w http.ResponseWriter, _ *http.Request) {
@@ -217,12 +219,12 @@
 		}
 		_, _ = fmt.Fprint(w, "data: [DONE]\n\n")
 	}
-	broken, good := newGate(t, breakOff), newGate(t, stream)
-	broken.list(broken, good)
-	good.list(good)
+	broken, good := newFakeGate(t, abortRequest), newFakeGate(t, stream)
+	broken.setEntries(broken, good)
+	good.setEntries(good)
 	config := openai.DefaultConfig("team-token")
 	config.BaseURL = client.BaseURL
-	config.HTTPClient = connect(t, broken).HTTPClient()
+	config.HTTPClient = newClient(t, broken).HTTPClient()
 	answer, err := openai.NewClientWithConfig(config).CreateChatCompletionStream(context.Background(), openai.ChatCompletionRequest{Model: "m"})
 	g.Expect(err).NotTo(HaveOccurred())
 	text := ""
--- a/client/entries.go
+++ b/client/entries.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Entry is a gate that slateway told the caller to use.
+// Entry is a gate that the caller may send requests to.
 type Entry struct {
 	Address string `json:"address"` // IP:port
 	VM      string `json:"vm"`
@@ -24,47 +24,49 @@
 	entriesPath    = "/v1/entries"
 	entriesTimeout = 3 * time.Second
 	maxEntriesBody = 64 << 10
-	// renewShare is the share of the lifetime after which an answer is renewed
-	// while it still may be used.
-	renewShare = 0.8
+	// refreshFraction is the fraction of the lifetime after which the entries are
+	// refreshed while they are still valid.
+	refreshFraction = 0.8
 )
 
-// entryCache keeps the last answer. An answer is never used after its lifetime:
-// a gate that drains stops when all answers that name it have run out.
+// entryCache holds the last list of entries. A list is never used after its
+// lifetime, because a draining gate stops once all lists that contain it have
+// expired.
 type entryCache struct {
-	mu      sync.Mutex
-	entries []Entry
-	renewAt time.Time
-	endsAt  time.Time
-	failed  map[string]bool // addresses that could not be reached since the answer
+	mu        sync.Mutex
+	entries   []Entry
+	refreshAt time.Time
+	expiresAt time.Time
+	failed    map[string]bool // addresses that were unreachable or refused a request since the last refresh
 }
 
-type entriesAnswer struct {
+type entriesResponse struct {
 	Entries    []Entry `json:"entries"`
 	LifetimeMS int64   `json:"lifetime_ms"`
 }
 
-// Entries gives the gates to use, best first, asking for them if need be.
+// Entries returns the gates to use, best first. It fetches them from a gate if the
+// cached list is due for a refresh or all gates in it have failed.
 func (c *Client) Entries(ctx context.Context) ([]Entry, error) {
 	cache := &c.entries
 	cache.mu.Lock()
-	defer cache.mu.Unlock() // callers wait for one renewal instead of each making their own
+	defer cache.mu.Unlock() // concurrent callers share one refresh
 	now := time.Now()
-	if now.Before(cache.renewAt) && cache.usable() > 0 {
-		return cache.inOrder(), nil
+	if now.Before(cache.refreshAt) && cache.countUsable() > 0 {
+		return cache.orderedEntries(), nil
 	}
-	err := c.renew(ctx, now)
-	if err != nil && now.Before(cache.endsAt) {
-		return cache.inOrder(), nil
+	err := c.refresh(ctx, now)
+	if err != nil && now.Before(cache.expiresAt) {
+		return cache.orderedEntries(), nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	return cache.inOrder(), nil
+	return cache.orderedEntries(), nil
 }
 
-// inOrder lists all entries, those that failed last.
-func (e *entryCache) inOrder() []Entry {
+// orderedEntries returns all entries, with those marked as failed at the end.
+func (e *entryCache) orderedEntries() []Entry {
 	var good, failed []Entry
 	for _, entry := range e.entries {
 		if e.failed[entry.Address] {
@@ -76,7 +78,8 @@
 	return append(good, failed...)
 }
 
-func (e *entryCache) usable() int {
+// countUsable returns the number of entries that are not marked as failed.
+func (e *entryCache) countUsable() int {
 	count := 0
 	for _, entry := range e.entries {
 		if !e.failed[entry.Address] {
@@ -86,7 +89,8 @@
 	return count
 }
 
-// markFailed puts a gate behind the others and lets the next request ask anew.
+// markFailed moves a gate behind the others and makes the next request refresh the
+// entries.
 func (e *entryCache) markFailed(address string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -94,14 +98,15 @@
 		e.failed = map[string]bool{}
 	}
 	e.failed[address] = true
-	e.renewAt = time.Time{}
+	e.refreshAt = time.Time{}
 }
 
-// renew asks the gates of the last answer, then those of the options.
-func (c *Client) renew(ctx context.Context, now time.Time) error {
+// refresh fetches the entries from the gates of the last list, then from those in
+// the options, until one answers.
+func (c *Client) refresh(ctx context.Context, now time.Time) error {
 	cache := &c.entries
 	var sources []string
-	for _, entry := range cache.inOrder() {
+	for _, entry := range cache.orderedEntries() {
 		sources = append(sources, entry.Address)
 	}
 	for _, gate := range c.options.Gates {
@@ -111,22 +116,23 @@
 	}
 	var failures []error
 	for _, gate := range sources {
-		answer, err := c.ask(ctx, gate)
+		answer, err := c.fetchEntries(ctx, gate)
 		if err != nil {
 			failures = append(failures, err)
 			continue
 		}
 		lifetime := time.Duration(answer.LifetimeMS) * time.Millisecond
 		cache.entries = answer.Entries
-		cache.endsAt = now.Add(lifetime)
-		cache.renewAt = now.Add(time.Duration(float64(lifetime) * renewShare))
+		cache.expiresAt = now.Add(lifetime)
+		cache.refreshAt = now.Add(time.Duration(float64(lifetime) * refreshFraction))
 		cache.failed = nil
 		return nil
 	}
 	return &UnreachableError{NotRun: true, Cause: errors.Join(failures...)}
 }
 
-func (c *Client) ask(ctx context.Context, gate string) (*entriesAnswer, error) {
+// fetchEntries requests the list of entries from one gate.
+func (c *Client) fetchEntries(ctx context.Context, gate string) (*entriesResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, entriesTimeout)
 	defer cancel()
 	target := url.URL{Scheme: "http", Host: gate, Path: entriesPath}
@@ -137,24 +143,24 @@
 	if err != nil {
 		return nil, err
 	}
-	response, err := c.transport.RoundTrip(request)
+	response, err := c.pooled.RoundTrip(request)
 	if err != nil {
-		return nil, fmt.Errorf("ask %s for entries: %w", gate, err)
+		return nil, fmt.Errorf("fetch entries from gate %s: %w", gate, err)
 	}
-	defer func() { _ = response.Body.Close() }() // read only
+	defer func() { _ = response.Body.Close() }() // the response is only read
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxEntriesBody))
 	if err != nil {
-		return nil, fmt.Errorf("ask %s for entries: %w", gate, err)
+		return nil, fmt.Errorf("read entries from gate %s: %w", gate, err)
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("ask %s for entries: status %d: %s", gate, response.StatusCode, body)
+		return nil, fmt.Errorf("fetch entries from gate %s: status %d: %s", gate, response.StatusCode, body)
 	}
-	var answer entriesAnswer
+	var answer entriesResponse
 	if err := json.Unmarshal(body, &answer); err != nil {
-		return nil, fmt.Errorf("entries of %s: %w", gate, err)
+		return nil, fmt.Errorf("decode entries from gate %s: %w", gate, err)
 	}
 	if len(answer.Entries) == 0 {
-		return nil, fmt.Errorf("entries of %s: none", gate)
+		return nil, fmt.Errorf("gate %s returned no entries", gate)
 	}
 	return &answer, nil
 }
--- a/client/roundtrip.go
+++ b/client/roundtrip.go
@@ -15,31 +15,32 @@
 	"sync/atomic"
 )
 
-// UnreachableError is returned when no gate gave an answer.
+// UnreachableError is returned if no gate answered the request.
 type UnreachableError struct {
-	// NotRun is true if the request provably reached no upstream.
+	// NotRun is true if the request provably did not reach an upstream.
 	NotRun bool
 	Cause  error
 }
 
-// Error tells whether the request ran and the last failures.
+// Error reports whether the request may have run, and the failures of the gates.
 func (e *UnreachableError) Error() string {
 	if e.NotRun {
-		return fmt.Sprintf("slateway: the request was not run: %v", e.Cause)
+		return fmt.Sprintf("slateway: the request did not run: %v", e.Cause)
 	}
-	return fmt.Sprintf("slateway: the request may have run; send it again only if it may run twice, or with %s and %s: %v",
+	return fmt.Sprintf("slateway: the request may have run; resend it only if it may run twice, or with the headers %s and %s: %v",
 		HeaderNonIdempotent, HeaderIdempotencyKey, e.Cause)
 }
 
-// Unwrap gives the failures.
+// Unwrap returns the failures of the gates.
 func (e *UnreachableError) Unwrap() error { return e.Cause }
 
-// RoundTrip sends request to a gate, and to the next one if that is safe.
+// RoundTrip sends request to a gate. On failure it sends it to the next gate if
+// that is safe.
 func (c *Client) RoundTrip(request *http.Request) (*http.Response, error) {
 	if request.Body != nil {
-		defer func() { _ = request.Body.Close() }() // the interface asks for it; all was read or is given up
+		defer func() { _ = request.Body.Close() }() // required by http.RoundTripper; the body was read or is no longer needed
 	}
-	body, replayable, err := c.keepBody(request)
+	body, replayable, err := c.bufferBody(request)
 	if err != nil {
 		return nil, err
 	}
@@ -50,31 +51,32 @@
 	if !replayable {
 		entries = entries[:1]
 	}
-	run := &run{client: c, request: request, body: body, whole: replayable, repeatable: repeatable(request)}
+	delivery := &delivery{client: c, request: request, body: body, bodyComplete: replayable, repeatable: repeatable(request)}
 	for i, entry := range entries {
-		response, done := run.try(entry.Address, i == len(entries)-1)
+		response, done := delivery.attempt(entry.Address, i == len(entries)-1)
 		if done {
-			return response, run.failure()
+			return response, delivery.failure()
 		}
 	}
-	return nil, run.failure()
+	return nil, delivery.failure()
 }
 
-// keepBody reads the body, if it is small enough, so that it can be sent again.
-func (c *Client) keepBody(request *http.Request) (body []byte, replayable bool, err error) {
+// bufferBody reads the body so that it can be resent. A body of more than
+// MaxReplayBytes is not replayable; the rest of it stays in request.Body.
+func (c *Client) bufferBody(request *http.Request) (body []byte, replayable bool, err error) {
 	if request.Body == nil || request.Body == http.NoBody {
 		return nil, true, nil
 	}
 	body, err = io.ReadAll(io.LimitReader(request.Body, c.options.MaxReplayBytes+1))
 	if err != nil {
-		return nil, false, fmt.Errorf("read the request's body: %w", err)
+		return nil, false, fmt.Errorf("read the request body: %w", err)
 	}
 	return body, int64(len(body)) <= c.options.MaxReplayBytes, nil
 }
 
-// repeatable reports whether running the request twice does no harm, or cannot
-// happen because slateway runs a marked request with a key once. A key without
-// the mark is not claimed by the gates and promises nothing.
+// repeatable reports whether the request may be resent: either running it twice is
+// harmless, or slateway runs it at most once because it has both the non-idempotent
+// mark and a key. Gates ignore a key without the mark, so it gives no guarantee.
 func repeatable(request *http.Request) bool {
 	if isTrue(request.Header.Get(HeaderNonIdempotent)) {
 		return request.Header.Get(HeaderIdempotencyKey) != ""
@@ -92,93 +94,99 @@
 	return err == nil && value
 }
 
-// run is one request on its way over several gates.
-type run struct {
-	client     *Client
-	request    *http.Request
-	body       []byte
-	whole      bool // body holds all of it
-	repeatable bool
-	sent       bool // some gate may have received it whole
-	failures   []error
+// delivery is the state of sending one request to one gate after another.
+type delivery struct {
+	client       *Client
+	request      *http.Request
+	body         []byte
+	bodyComplete bool // body holds the complete request body
+	repeatable   bool
+	mayHaveRun   bool // a gate may have received the complete request
+	failures     []error
 }
 
-// try sends the request to one gate. Done means that no further gate is tried:
-// there is a response, or failure tells why not.
-func (r *run) try(address string, last bool) (response *http.Response, done bool) {
+// attempt sends the request to one gate. It returns done if no other gate is to be
+// tried: there is a response, or failure returns the error.
+func (d *delivery) attempt(address string, last bool) (response *http.Response, done bool) {
 	var connected atomic.Bool
-	transport := r.client.transport
-	if !r.repeatable {
-		transport = r.client.fresh
+	transport := d.client.pooled
+	if !d.repeatable {
+		transport = d.client.unpooled
 	}
-	response, err := transport.RoundTrip(r.build(address, &connected))
+	response, err := transport.RoundTrip(d.buildRequest(address, &connected))
 	if err != nil {
-		r.failures = append(r.failures, fmt.Errorf("gate %s: %w", address, err))
-		if r.request.Context().Err() == nil {
-			r.client.entries.markFailed(address)
+		d.failures = append(d.failures, fmt.Errorf("gate %s: %w", address, err))
+		if d.request.Context().Err() == nil {
+			d.client.entries.markFailed(address)
 		}
-		// A connection that was never made carried nothing. Any later failure
-		// leaves open whether the gate has read the request.
+		// If no connection was established, the gate received nothing. After any
+		// later failure the gate may have read the request.
 		if connected.Load() {
-			r.sent = true
+			d.mayHaveRun = true
 		}
-		return nil, r.request.Context().Err() != nil || (r.sent && !r.repeatable)
+		return nil, d.request.Context().Err() != nil || (d.mayHaveRun && !d.repeatable)
 	}
 	if !last && refusedByGate(response) {
-		r.failures = append(r.failures, fmt.Errorf("gate %s: refused, not run", address))
-		r.client.entries.markFailed(address)
-		_ = response.Body.Close() // the answer is used up
+		d.failures = append(d.failures, fmt.Errorf("gate %s refused the request before running it", address))
+		d.client.entries.markFailed(address)
+		_ = response.Body.Close() // the next gate's response replaces it
 		return nil, false
 	}
-	r.failures = nil
+	d.failures = nil
 	return response, true
 }
 
-func (r *run) failure() error {
-	if len(r.failures) == 0 {
+// failure returns an UnreachableError with the failures so far, or nil if there are
+// none.
+func (d *delivery) failure() error {
+	if len(d.failures) == 0 {
 		return nil
 	}
-	return &UnreachableError{NotRun: !r.sent, Cause: errors.Join(r.failures...)}
+	return &UnreachableError{NotRun: !d.mayHaveRun, Cause: errors.Join(d.failures...)}
 }
 
-func (r *run) build(address string, connected *atomic.Bool) *http.Request {
+// buildRequest returns a copy of the request for the gate at address. It sets
+// connected once the copy has a connection.
+func (d *delivery) buildRequest(address string, connected *atomic.Bool) *http.Request {
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
-	request := r.request.Clone(httptrace.WithClientTrace(r.request.Context(), trace))
+	request := d.request.Clone(httptrace.WithClientTrace(d.request.Context(), trace))
 	request.URL.Scheme = "http"
 	request.URL.Host = address
 	request.Host = address
-	if token := r.client.options.Token; token != "" && request.Header.Get("Authorization") == "" {
+	if token := d.client.options.Token; token != "" && request.Header.Get("Authorization") == "" {
 		request.Header.Set("Authorization", "Bearer "+token)
 	}
-	r.setBody(request)
+	d.setBody(request)
 	return request
 }
 
-// setBody hides from the transport that the body can be read again: the
-// transport would otherwise repeat some requests by itself on a broken
-// connection, past the rules of this package.
-func (r *run) setBody(request *http.Request) {
+// setBody sets the body and clears GetBody. With GetBody, http.Transport would
+// resend some requests by itself after a broken connection, even those that this
+// package must not resend.
+func (d *delivery) setBody(request *http.Request) {
 	request.GetBody = nil
 	switch {
-	case len(r.body) == 0:
+	case len(d.body) == 0:
 		request.Body = nil
 		request.ContentLength = 0
-	case !r.whole:
-		request.Body = io.NopCloser(io.MultiReader(bytes.NewReader(r.body), r.request.Body))
+	case !d.bodyComplete:
+		request.Body = io.NopCloser(io.MultiReader(bytes.NewReader(d.body), d.request.Body))
 	default:
-		request.Body = io.NopCloser(bytes.NewReader(r.body))
-		request.ContentLength = int64(len(r.body))
+		request.Body = io.NopCloser(bytes.NewReader(d.body))
+		request.ContentLength = int64(len(d.body))
 	}
 }
 
-// maxRefusal bounds the refusal that is read to see whether it is final.
-const maxRefusal = 64 << 10
+// maxRefusalBytes is how much of a refusal's body is read to decide whether to try the
+// next gate.
+const maxRefusalBytes = 64 << 10
 
-// gateReasons are the refusals that concern the gate and not the request: the
-// next gate may well serve it. Any other refusal would come from each gate
-// alike, and asking them all would multiply the load when it is highest.
+// gateReasons are the refusal reasons that concern the gate and not the request, so
+// that another gate may serve it. All gates would give any other refusal alike, and
+// trying each of them would multiply the load when it is highest.
 var gateReasons = []string{"gate_draining", "draining", "no_configuration", "configuration_lease_expired", "keepers_unavailable"}
 
+// refusal is the part of a gate's error response that this package reads.
 type refusal struct {
 	Error struct {
 		Reason string `json:"reason"`
@@ -186,13 +194,13 @@
 	} `json:"error"`
 }
 
-// refusedByGate reports whether the gate did not run the request for a reason
-// of its own. The body stays readable.
+// refusedByGate reports whether the gate did not run the request for one of
+// gateReasons. The response body stays readable.
 func refusedByGate(response *http.Response) bool {
 	if response.StatusCode != http.StatusServiceUnavailable {
 		return false
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxRefusal))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxRefusalBytes))
 	response.Body = struct {
 		io.Reader
 		io.Closer
@@ -206,7 +214,7 @@
 
 var _ http.RoundTripper = (*Client)(nil)
 
-// Ping checks that a gate answers, so that a wrong address shows at start.
+// Ping checks that a gate answers. Call it at startup to detect a wrong address.
 func (c *Client) Ping(ctx context.Context) error {
 	_, err := c.Entries(ctx)
 	return err
