--- a/standin/announce/announce.go
+++ b/standin/announce/announce.go
@@ -1,5 +1,6 @@
-// Package announce sends a stand-in's announcements to gates: who it is, what
-// it serves, its load and whether it is leaving.
+// Package announce sends the announcements of a simulated upstream to gates. An
+// announcement carries the replica's identity, what it serves, its load and whether
+// it is leaving.
 package announce
 
 import (
@@ -14,25 +15,25 @@
 	"time"
 )
 
-// Path is where a gate takes announcements, on its callers' listener.
+// Path is the HTTP path for announcements on a gate's caller listener.
 const Path = "/v1/upstreams/announce"
 
-// sendTimeout bounds one announcement to one gate.
+// sendTimeout is the time limit for sending one announcement to one gate.
 const sendTimeout = 2 * time.Second
 
-// Model is one model that an engine serves.
+// Model is a model that an engine serves.
 type Model struct {
 	Name    string `json:"name"`
 	Version string `json:"version,omitempty"`
 }
 
-// Announcement is the body of one announcement.
+// Announcement is the request body of an announcement.
 type Announcement struct {
 	Service string `json:"service"`
 	Kind    string `json:"kind"` // "engine" or "service"
 	Replica string `json:"replica"`
-	// Incarnation is the start of the process in milliseconds since 1970; a
-	// restart is a higher one.
+	// Incarnation is the start time of the process in Unix milliseconds. It is higher
+	// after each restart.
 	Incarnation int64  `json:"incarnation"`
 	Address     string `json:"address"` // IP:port
 	Place       string `json:"place"`
@@ -50,14 +51,14 @@
 	CanCancel     bool `json:"can_cancel"`
 	KVExport      bool `json:"kv_export"`
 
-	// Sequence rises by one with each announcement of an incarnation.
+	// Sequence increases by one with each announcement of an incarnation.
 	Sequence int64 `json:"sequence"`
 }
 
-// Announcer sends announcements to every gate at a fixed interval.
+// Announcer sends announcements to all gates at a fixed interval.
 type Announcer struct {
 	gates    []Gate
-	every    time.Duration
+	interval time.Duration
 	client   *http.Client
 	describe func() (Announcement, bool)
 	identity Announcement
@@ -67,27 +68,28 @@
 	leaving  bool
 }
 
-// Gate is one gate to announce to.
+// Gate is a gate that receives announcements.
 type Gate struct {
-	Callers string // IP:port of its callers' listener
-	// Via is the address to announce to this gate, as of a relay before the
-	// stand-in; the stand-in's own if empty.
-	Via string
+	Callers string // IP:port of the gate's caller listener
+	// AdvertisedAddress replaces the address in announcements to this gate, for example
+	// with the address of a relay. If empty, the upstream's own address is announced.
+	AdvertisedAddress string
 }
 
-// ParseGate reads CALLERS or CALLERS=VIA.
+// ParseGate parses CALLERS or CALLERS=ADVERTISED.
 func ParseGate(text string) Gate {
-	callers, via, _ := strings.Cut(text, "=")
-	return Gate{Callers: callers, Via: via}
+	callers, advertised, _ := strings.Cut(text, "=")
+	return Gate{Callers: callers, AdvertisedAddress: advertised}
 }
 
-// New makes an Announcer for gates. identity gives the fields that never
-// change; describe fills in the others on a copy and reports false while
-// nothing must be sent, as from a frozen process.
-func New(gates []Gate, every time.Duration, identity Announcement, describe func(*Announcement) bool) *Announcer {
+// New returns an Announcer that sends to gates at the given interval. identity
+// holds the fields that never change. describe sets the other fields on a copy and
+// returns false while nothing must be sent, for example while the upstream simulates
+// a frozen process.
+func New(gates []Gate, interval time.Duration, identity Announcement, describe func(*Announcement) bool) *Announcer {
 	return &Announcer{
 		gates:    gates,
-		every:    every,
+		interval: interval,
 		client:   &http.Client{Timeout: sendTimeout},
 		identity: identity,
 		describe: func() (Announcement, bool) {
@@ -98,7 +100,7 @@
 	}
 }
 
-// Leave marks all later announcements as leaving and sends one at once.
+// Leave marks all further announcements as leaving and sends one immediately.
 func (a *Announcer) Leave(ctx context.Context) {
 	a.mu.Lock()
 	a.leaving = true
@@ -106,9 +108,9 @@
 	a.Send(ctx)
 }
 
-// Run announces until ctx ends.
+// Run sends announcements until ctx is cancelled.
 func (a *Announcer) Run(ctx context.Context) {
-	ticker := time.NewTicker(a.every)
+	ticker := time.NewTicker(a.interval)
 	defer ticker.Stop()
 	for {
 		a.Send(ctx)
@@ -120,10 +122,10 @@
 	}
 }
 
-// Send announces once to every gate at the same time, and waits for all. A
-// gate that cannot be reached misses this one; the next interval repeats it.
+// Send sends one announcement to all gates concurrently and waits for all of them.
+// Failures are ignored: the next interval sends to the gate again.
 func (a *Announcer) Send(ctx context.Context) {
-	announcement, send := a.next()
+	announcement, send := a.nextAnnouncement()
 	if !send {
 		return
 	}
@@ -134,7 +136,9 @@
 	sent.Wait()
 }
 
-func (a *Announcer) next() (Announcement, bool) {
+// nextAnnouncement returns an announcement of the current state with a new sequence
+// number, and whether to send it.
+func (a *Announcer) nextAnnouncement() (Announcement, bool) {
 	announcement, send := a.describe()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -146,9 +150,10 @@
 	return announcement, send
 }
 
+// post sends an announcement to one gate.
 func (a *Announcer) post(ctx context.Context, gate Gate, announcement Announcement) error {
-	if gate.Via != "" {
-		announcement.Address = gate.Via
+	if gate.AdvertisedAddress != "" {
+		announcement.Address = gate.AdvertisedAddress
 	}
 	body, err := json.Marshal(announcement)
 	if err != nil {
@@ -168,7 +173,7 @@
 		return err
 	}
 	if response.StatusCode >= http.StatusBadRequest {
-		return fmt.Errorf("gate %s answered the announcement with %s", gate.Callers, response.Status)
+		return fmt.Errorf("gate %s rejected the announcement: %s", gate.Callers, response.Status)
 	}
 	return nil
 }
--- a/standin/engine/admission.go
+++ b/standin/engine/admission.go
@@ -5,59 +5,61 @@
 	"slices"
 )
 
-// ticket is one place in the queue for a slot.
-type ticket struct {
-	admitted chan struct{}
+// waiter is a request in the queue for a slot.
+type waiter struct {
+	admitted chan struct{} // closed once the request has a slot
 }
 
-// acquire waits for a slot, first in first out, and says whether it had to
-// wait. It fails if ctx ends or the engine crashes first.
-func (e *Engine) acquire(ctx context.Context) (queued bool, err error) {
-	mine := &ticket{admitted: make(chan struct{})}
+// acquireSlot waits for a slot, in order of arrival, and reports whether it had to
+// wait. It fails if ctx is cancelled or the engine crashes first.
+func (e *Engine) acquireSlot(ctx context.Context) (queued bool, err error) {
+	w := &waiter{admitted: make(chan struct{})}
 	e.mu.Lock()
-	e.waiting = append(e.waiting, mine)
-	e.admit()
+	e.waiting = append(e.waiting, w)
+	e.admitWaiting()
 	e.mu.Unlock()
 
 	select {
-	case <-mine.admitted:
+	case <-w.admitted:
 		return false, nil
 	default:
 	}
 	select {
-	case <-mine.admitted:
+	case <-w.admitted:
 		return true, nil
 	case <-ctx.Done():
-		e.abandon(mine)
+		e.cancelWait(w)
 		return true, context.Cause(ctx)
-	case <-e.dead:
-		e.abandon(mine)
+	case <-e.done:
+		e.cancelWait(w)
 		return true, errCrashed
 	}
 }
 
-// release gives a slot back.
-func (e *Engine) release() {
+// releaseSlot returns a slot and admits the next request.
+func (e *Engine) releaseSlot() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running--
-	e.admit()
+	e.admitWaiting()
 }
 
-// abandon leaves the queue, or gives back the slot that came meanwhile.
-func (e *Engine) abandon(mine *ticket) {
+// cancelWait removes a waiter from the queue, or returns its slot if it was admitted
+// in the meantime.
+func (e *Engine) cancelWait(w *waiter) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if at := slices.Index(e.waiting, mine); at >= 0 {
+	if at := slices.Index(e.waiting, w); at >= 0 {
 		e.waiting = slices.Delete(e.waiting, at, at+1)
 	} else {
 		e.running--
 	}
-	e.admit()
+	e.admitWaiting()
 }
 
-// admit gives free slots to the head of the queue. The caller holds e.mu.
-func (e *Engine) admit() {
+// admitWaiting assigns free slots to the requests at the head of the queue. The
+// caller holds e.mu.
+func (e *Engine) admitWaiting() {
 	for e.running < e.options.Slots && len(e.waiting) > 0 {
 		close(e.waiting[0].admitted)
 		e.waiting = e.waiting[1:]
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -2,12 +2,11 @@
 
 import "container/list"
 
-// prefixCache is a set of prompt prefixes with the least recently used out
-// first.
+// prefixCache is a set of prompt prefixes that evicts the least recently used one.
 type prefixCache struct {
 	limit    int
 	hits     int64
-	recent   *list.List // most recent first
+	recent   *list.List // most recently used first
 	elements map[string]*list.Element
 }
 
@@ -15,8 +14,9 @@
 	return &prefixCache{limit: limit, recent: list.New(), elements: make(map[string]*list.Element)}
 }
 
-// use says whether the prefix was cached, and caches it.
-func (c *prefixCache) use(prefix string) bool {
+// lookupOrAdd reports whether the prefix is cached. If it is not, lookupOrAdd adds
+// it. Either way it becomes the most recently used.
+func (c *prefixCache) lookupOrAdd(prefix string) bool {
 	if element, ok := c.elements[prefix]; ok {
 		c.recent.MoveToFront(element)
 		c.hits++
--- a/standin/engine/completions.go
+++ b/standin/engine/completions.go
@@ -8,20 +8,22 @@
 	"time"
 )
 
-// statusCancelled answers a plain request that was cancelled.
+// statusCancelled is the response status of a non-streaming request that was
+// cancelled, and of a streaming one that was cancelled before it got a slot.
 const statusCancelled = 499
 
-// shape is what differs between chat and text completions.
-type shape struct {
+// responseFormat holds what differs between the responses to chat and text
+// completions.
+type responseFormat struct {
 	object      string
 	chunkObject string
-	fill        func(c *choice, text string, streaming bool)
+	setText     func(c *choice, text string, streaming bool)
 }
 
-var chatShape = shape{
+var chatFormat = responseFormat{
 	object:      "chat.completion",
 	chunkObject: "chat.completion.chunk",
-	fill: func(c *choice, text string, streaming bool) {
+	setText: func(c *choice, text string, streaming bool) {
 		if streaming {
 			c.Delta = &answerMessage{Content: text}
 			return
@@ -30,10 +32,10 @@
 	},
 }
 
-var textShape = shape{
+var textFormat = responseFormat{
 	object:      "text_completion",
 	chunkObject: "text_completion",
-	fill:        func(c *choice, text string, _ bool) { c.Text = &text },
+	setText:     func(c *choice, text string, _ bool) { c.Text = &text },
 }
 
 type completion struct {
@@ -65,22 +67,23 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// progress counts the tokens of the whole answer so far, resumed ones too.
+// progress holds the number of tokens of the answer so far, including those before
+// resume_from.
 type progress struct {
 	Token int `json:"token"`
 }
 
-func (e *Engine) serveChat(w http.ResponseWriter, r *http.Request) { e.serve(w, r, chatShape) }
-func (e *Engine) serveText(w http.ResponseWriter, r *http.Request) { e.serve(w, r, textShape) }
+func (e *Engine) serveChat(w http.ResponseWriter, r *http.Request) { e.serve(w, r, chatFormat) }
+func (e *Engine) serveText(w http.ResponseWriter, r *http.Request) { e.serve(w, r, textFormat) }
 
-func (e *Engine) serve(w http.ResponseWriter, r *http.Request, shape shape) {
+func (e *Engine) serve(w http.ResponseWriter, r *http.Request, format responseFormat) {
 	req, err := e.readRequest(r)
 	if err != nil {
 		writeError(w, http.StatusBadRequest, "invalid_request", err.Error())
 		return
 	}
 	if !e.hasModel(req.model) {
-		writeError(w, http.StatusNotFound, "model_not_found", fmt.Sprintf("model %q is not loaded here", req.model))
+		writeError(w, http.StatusNotFound, "model_not_found", fmt.Sprintf("model %q is not loaded on this engine", req.model))
 		return
 	}
 	ctx, done := e.track(r.Context(), req.id)
@@ -88,42 +91,42 @@
 	w.Header().Set(RequestIDHeader, req.id)
 	r = r.WithContext(ctx)
 	if req.stream {
-		e.serveStream(w, r, req, shape)
+		e.serveStream(w, r, req, format)
 		return
 	}
-	e.servePlain(w, r, req, shape)
+	e.serveBuffered(w, r, req, format)
 }
 
-// servePlain answers in one piece. A resumed request is answered with the
-// tokens after resume_from only.
-func (e *Engine) servePlain(w http.ResponseWriter, r *http.Request, req *request, shape shape) {
-	whole := &wholeAnswer{header: w.Header()}
-	tokens, err := e.generate(r.Context(), req, whole)
+// serveBuffered sends the answer as one JSON response. The answer to a resumed
+// request contains only the tokens after resume_from.
+func (e *Engine) serveBuffered(w http.ResponseWriter, r *http.Request, req *request, format responseFormat) {
+	buffered := &bufferedWriter{header: w.Header()}
+	tokens, err := e.generate(r.Context(), req, buffered)
 	if errors.Is(err, errCancelled) {
-		writeError(w, statusCancelled, "cancelled", fmt.Sprintf("cancelled after %d tokens", tokens))
+		writeError(w, statusCancelled, "cancelled", fmt.Sprintf("the request was cancelled after %d tokens", tokens))
 		return
 	}
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	answer := req.completion(shape.object)
+	answer := req.completion(format.object)
 	last := choice{FinishReason: finishReason("length")}
-	shape.fill(&last, whole.text.String(), false)
+	format.setText(&last, buffered.text.String(), false)
 	answer.Choices = []choice{last}
 	answer.Usage = req.usageOf(tokens)
 	answer.Slateway = &progress{Token: tokens}
 	writeJSON(w, http.StatusOK, answer)
 }
 
-// serveStream answers with server-sent events, one token each.
-func (e *Engine) serveStream(w http.ResponseWriter, r *http.Request, req *request, shape shape) {
-	events := &eventWriter{w: w, control: http.NewResponseController(w), request: req, shape: shape}
+// serveStream sends the answer as server-sent events with one token each.
+func (e *Engine) serveStream(w http.ResponseWriter, r *http.Request, req *request, format responseFormat) {
+	events := &eventWriter{w: w, control: http.NewResponseController(w), request: req, format: format}
 	tokens, err := e.generate(r.Context(), req, events)
 	switch {
 	case err == nil:
 		events.finish(tokens, "length")
 	case errors.Is(err, errCancelled) && !events.started:
-		writeError(w, statusCancelled, "cancelled", "cancelled before it got a slot")
+		writeError(w, statusCancelled, "cancelled", "the request was cancelled before it got a slot")
 	case errors.Is(err, errCancelled):
 		events.finish(tokens, "cancelled")
 	default:
@@ -131,11 +134,13 @@
 	}
 }
 
+// completion returns a response object without choices.
 func (r *request) completion(object string) completion {
 	return completion{ID: "cmpl-" + r.id, Object: object, Created: time.Now().Unix(), Model: r.model}
 }
 
-// usageOf counts a prompt's words as its tokens.
+// usageOf returns the token counts of an answer. It counts each word of the prompt as
+// one token.
 func (r *request) usageOf(tokens int) *usage {
 	prompt := len(strings.Fields(r.prompt))
 	return &usage{PromptTokens: prompt, CompletionTokens: tokens, TotalTokens: prompt + tokens}
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -11,13 +11,13 @@
 	"slateway.example/slateway/standin/announce"
 )
 
-// errCancelled ends a run that POST /v1/cancel named.
+// errCancelled is the cause of a run that POST /v1/cancel ended.
 var errCancelled = errors.New("cancelled")
 
-// errCrashed ends all runs of an engine that crashed.
+// errCrashed is the error of all runs that a crash of the engine ended.
 var errCrashed = errors.New("the engine crashed")
 
-// Engine is an http.Handler that speaks the engine protocol.
+// Engine is an http.Handler that implements the engine protocol.
 type Engine struct {
 	options Options
 	mux     *http.ServeMux
@@ -25,18 +25,18 @@
 
 	mu       sync.Mutex
 	running  int
-	waiting  []*ticket
+	waiting  []*waiter
 	runs     map[*run]struct{}
 	load     loadHistory
 	prefixes *prefixCache
-	thawed   chan struct{} // closed while the engine is not frozen
+	thawed   chan struct{} // open while the engine is frozen, else closed
 	frozen   bool
-	dead     chan struct{} // closed once the engine crashed
+	done     chan struct{} // closed by Crash
 	crashed  bool
 	orders   orderState
 }
 
-// New makes an Engine.
+// New returns an Engine with the given options.
 func New(options Options) *Engine {
 	engine := &Engine{
 		options:  options,
@@ -45,7 +45,7 @@
 		load:     loadHistory{lag: options.LoadLag},
 		prefixes: newPrefixCache(options.CachedPrefixes),
 		thawed:   make(chan struct{}),
-		dead:     make(chan struct{}),
+		done:     make(chan struct{}),
 		orders:   newOrderState(options),
 	}
 	close(engine.thawed)
@@ -68,8 +68,8 @@
 	return mux
 }
 
-// ServeHTTP answers one request. A frozen engine accepts connections and
-// answers nothing but the freeze switch; a crashed one drops them.
+// ServeHTTP serves a request. A frozen engine accepts connections but answers only
+// /v1/freeze. A crashed engine drops all connections.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/v1/freeze" {
 		if err := e.waitThawed(r.Context()); err != nil {
@@ -79,7 +79,7 @@
 	e.mux.ServeHTTP(w, r)
 }
 
-// Freeze stops all progress, as SIGSTOP would, until Freeze(false).
+// Freeze suspends the engine, as SIGSTOP does, until Freeze(false) resumes it.
 func (e *Engine) Freeze(frozen bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -94,13 +94,14 @@
 	}
 }
 
-// Crash ends the engine: all runs stop and all connections are dropped.
+// Crash simulates a crash of the process: all runs end and all connections are
+// dropped.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	first := !e.crashed
 	if first {
 		e.crashed = true
-		close(e.dead)
+		close(e.done)
 	}
 	e.mu.Unlock()
 	if first && e.options.OnCrash != nil {
@@ -108,35 +109,35 @@
 	}
 }
 
-// Alive says whether the engine answers: it has not crashed and is not frozen.
+// Alive reports whether the engine has not crashed and is not frozen.
 func (e *Engine) Alive() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return !e.crashed && !e.frozen
 }
 
-// Models gives the models that are loaded now.
+// Models returns the models that are loaded now.
 func (e *Engine) Models() []announce.Model {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]announce.Model(nil), e.orders.models...)
 }
 
-// Busy gives the number of requests that run or wait now, without lag.
+// Busy returns the current number of running and waiting requests, without lag.
 func (e *Engine) Busy() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.running + len(e.waiting)
 }
 
-// Load gives the load as it was LoadLag ago.
+// Load returns the load as it was LoadLag ago.
 func (e *Engine) Load() Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.load.report(time.Now())
 }
 
-// recordLoad notes the load after a change. The caller holds e.mu.
+// recordLoad adds the current load to the history. The caller holds e.mu.
 func (e *Engine) recordLoad() {
 	e.load.record(time.Now(), Load{
 		Running:    e.running,
@@ -146,21 +147,21 @@
 	})
 }
 
-// waitThawed returns once the engine is not frozen, or with the reason why it
-// will not be.
+// waitThawed waits until the engine is not frozen. It returns an error if the engine
+// crashes or ctx is cancelled first.
 func (e *Engine) waitThawed(ctx context.Context) error {
 	e.mu.Lock()
 	thawed := e.thawed
 	e.mu.Unlock()
 	select {
-	case <-e.dead:
+	case <-e.done:
 		return errCrashed
 	default:
 	}
 	select {
 	case <-thawed:
 		return nil
-	case <-e.dead:
+	case <-e.done:
 		return errCrashed
 	case <-ctx.Done():
 		return context.Cause(ctx)
@@ -192,7 +193,7 @@
 	writeJSON(w, http.StatusOK, e.log.report())
 }
 
-// Log gives the runs so far.
+// Log returns the runs so far.
 func (e *Engine) Log() LogReport { return e.log.report() }
 
 func (e *Engine) serveModels(w http.ResponseWriter, _ *http.Request) {
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -23,10 +23,10 @@
 	RunSpecs(t, "engine stand-in")
 }
 
-// never is a token time that no test waits out.
-const never = time.Hour
+// neverElapses is a token interval that no test waits for.
+const neverElapses = time.Hour
 
-func quick() engine.Options {
+func fastOptions() engine.Options {
 	options := engine.Defaults()
 	options.FirstToken = time.Millisecond
 	options.FirstTokenCached = time.Millisecond
@@ -36,15 +36,15 @@
 	return options
 }
 
-// client talks to one engine over a test server.
+// client sends requests to an engine behind a test server.
 type client struct {
 	url string
 }
 
-func serve(instance *engine.Engine) client {
+func startServer(instance *engine.Engine) client {
 	server := httptest.NewServer(instance)
 	DeferCleanup(server.Close)
-	DeferCleanup(instance.Crash) // ends the runs that a test left
+	DeferCleanup(instance.Crash) // ends the runs that a test left unfinished
 	return client{server.URL}
 }
 
@@ -55,7 +55,7 @@
 	return http.DefaultClient.Do(request)
 }
 
-func (c client) ask(id, body string) (int, string) {
+func (c client) complete(id, body string) (int, string) {
 	GinkgoHelper()
 	response, err := c.post(context.Background(), "/v1/completions", id, body)
 	Expect(err).NotTo(HaveOccurred())
@@ -65,8 +65,8 @@
 	return response.StatusCode, string(text)
 }
 
-// start sends a streaming request and returns once it is answered.
-func (c client) start(ctx context.Context, id, body string) *bufio.Scanner {
+// startStream sends a streaming request and returns once it has the response headers.
+func (c client) startStream(ctx context.Context, id, body string) *bufio.Scanner {
 	GinkgoHelper()
 	response, err := c.post(ctx, "/v1/chat/completions", id, body)
 	Expect(err).NotTo(HaveOccurred())
@@ -83,8 +83,8 @@
 	Slateway struct{ Token int }
 }
 
-// next gives the next event of a stream; done is true at its regular end.
-func next(stream *bufio.Scanner) (event chunk, done bool) {
+// nextEvent returns the next event of a stream. done is true at its regular end.
+func nextEvent(stream *bufio.Scanner) (event chunk, done bool) {
 	GinkgoHelper()
 	for stream.Scan() {
 		data, ok := strings.CutPrefix(stream.Text(), "data: ")
@@ -101,11 +101,12 @@
 	return chunk{}, false
 }
 
-// rest reads a stream to its end: its text, last token number and finish reason.
-func rest(stream *bufio.Scanner) (text string, token int, reason string) {
+// readStream reads a stream to its end and returns the text, the last token number and
+// the finish reason.
+func readStream(stream *bufio.Scanner) (text string, token int, reason string) {
 	GinkgoHelper()
 	for {
-		event, done := next(stream)
+		event, done := nextEvent(stream)
 		if done {
 			return text, token, reason
 		}
@@ -119,52 +120,52 @@
 
 var _ = Describe("an answer", func() {
 	It("is made from its own prompt, streamed or plain", func() {
-		engineClient := serve(engine.New(quick()))
-		text, token, reason := rest(engineClient.start(context.Background(), "a", chat+"}"))
+		engineClient := startServer(engine.New(fastOptions()))
+		text, token, reason := readStream(engineClient.startStream(context.Background(), "a", chat+"}"))
 		Expect(text).To(Equal(engine.Answer("hello", 3)))
 		Expect(token).To(Equal(3))
 		Expect(reason).To(Equal("length"))
 
-		status, plain := engineClient.ask("b", `{"model":"small@1","max_tokens":2,"prompt":"bye"}`)
+		status, plain := engineClient.complete("b", `{"model":"small@1","max_tokens":2,"prompt":"bye"}`)
 		Expect(status).To(Equal(http.StatusOK))
 		Expect(plain).To(ContainSubstring(engine.Answer("bye", 2)))
 	})
 
 	It("continues after the token that a resumed request names", func() {
-		instance := engine.New(quick())
-		engineClient := serve(instance)
+		instance := engine.New(fastOptions())
+		engineClient := startServer(instance)
 		prefix := engine.Answer("hello", 2)
 		resumed := chat + `,"slateway":{"resume_from":2,"prefix":"` + prefix + `"}}`
-		text, token, _ := rest(engineClient.start(context.Background(), "a", resumed))
+		text, token, _ := readStream(engineClient.startStream(context.Background(), "a", resumed))
 		Expect(prefix + text).To(Equal(engine.Answer("hello", 3)))
 		Expect(token).To(Equal(3))
 		Expect(instance.Log().Runs[0].Tokens).To(Equal(1))
 
-		status, refused := engineClient.ask("b", `{"model":"small","prompt":"other","slateway":{"resume_from":2,"prefix":"`+prefix+`"}}`)
+		status, refused := engineClient.complete("b", `{"model":"small","prompt":"other","slateway":{"resume_from":2,"prefix":"`+prefix+`"}}`)
 		Expect(status).To(Equal(http.StatusBadRequest), refused)
 	})
 
 	It("is refused for a model that is not loaded", func() {
-		status, _ := serve(engine.New(quick())).ask("a", `{"model":"large","prompt":"x"}`)
+		status, _ := startServer(engine.New(fastOptions())).complete("a", `{"model":"large","prompt":"x"}`)
 		Expect(status).To(Equal(http.StatusNotFound))
 	})
 })
 
 var _ = Describe("the batch", func() {
 	It("admits first in first out and cancels what runs or waits", func() {
-		options := quick()
+		options := fastOptions()
 		options.Slots = 1
-		options.TokenEvery = never
+		options.TokenEvery = neverElapses
 		instance := engine.New(options)
-		engineClient := serve(instance)
+		engineClient := startServer(instance)
 
-		first := engineClient.start(context.Background(), "first", chat+"}")
-		next(first)
+		first := engineClient.startStream(context.Background(), "first", chat+"}")
+		nextEvent(first)
 		answered := make(chan string, 2)
 		for queued, id := range []string{"second", "third"} {
 			go func() {
 				defer GinkgoRecover()
-				_, text := engineClient.ask(id, `{"model":"small","max_tokens":1,"prompt":"x"}`)
+				_, text := engineClient.complete(id, `{"model":"small","max_tokens":1,"prompt":"x"}`)
 				answered <- id + " " + text
 			}()
 			Eventually(instance.Busy).WithTimeout(time.Minute).Should(Equal(queued + 2))
@@ -176,19 +177,19 @@
 		response, err := engineClient.post(context.Background(), "/v1/cancel", "", `{"request_id":"first"}`)
 		Expect(err).NotTo(HaveOccurred())
 		response.Body.Close()
-		_, token, reason := rest(first)
+		_, token, reason := readStream(first)
 		Expect(token).To(Equal(1))
 		Expect(reason).To(Equal("cancelled"))
 		Expect(<-answered).To(ContainSubstring(engine.Answer("x", 1)))
 	})
 
 	It("frees the slot of a caller whose connection closed", func() {
-		options := quick()
+		options := fastOptions()
 		options.Slots = 1
-		options.TokenEvery = never
+		options.TokenEvery = neverElapses
 		instance := engine.New(options)
 		ctx, hangUp := context.WithCancel(context.Background())
-		next(serve(instance).start(ctx, "a", chat+"}"))
+		nextEvent(startServer(instance).startStream(ctx, "a", chat+"}"))
 		hangUp()
 		Eventually(instance.Busy).WithTimeout(time.Minute).Should(BeZero())
 		Expect(instance.Log().Cancelled).To(BeEquivalentTo(1))
@@ -197,13 +198,13 @@
 
 var _ = Describe("the prefix cache", func() {
 	It("counts a hit for a known prefix, and forgets the least recently used", func() {
-		options := quick()
+		options := fastOptions()
 		options.CachedPrefixes = 2
 		options.PrefixBytes = 1
 		instance := engine.New(options)
-		engineClient := serve(instance)
+		engineClient := startServer(instance)
 		for _, prompt := range []string{"a1", "b1", "a2", "c1", "b2"} {
-			engineClient.ask("", `{"model":"small","max_tokens":1,"prompt":"`+prompt+`"}`)
+			engineClient.complete("", `{"model":"small","max_tokens":1,"prompt":"`+prompt+`"}`)
 		}
 		Eventually(instance.Load).Should(HaveField("PrefixHits", BeEquivalentTo(1)))
 	})
@@ -215,7 +216,7 @@
 	}
 
 	It("with an old fencing number is refused by an engine that checks it", func() {
-		options := quick()
+		options := fastOptions()
 		options.ChecksFencing = true
 		instance := engine.New(options)
 		Expect(instance.Execute(load(7, "new"))).To(Succeed())
@@ -224,7 +225,7 @@
 	})
 
 	It("with an old fencing number is executed by an engine that ignores it", func() {
-		instance := engine.New(quick())
+		instance := engine.New(fastOptions())
 		Expect(instance.Execute(load(7, "new"))).To(Succeed())
 		Expect(instance.Execute(load(6, "old"))).To(Succeed())
 		Expect(instance.OrderReport().Applied).To(HaveLen(2))
@@ -234,13 +235,13 @@
 var _ = Describe("a fault", func() {
 	It("crashes the engine under all its streams when a request is marked", func() {
 		var lines bytes.Buffer
-		options := quick()
-		options.TokenEvery = never
+		options := fastOptions()
+		options.TokenEvery = neverElapses
 		options.Log = &lines
 		instance := engine.New(options)
-		engineClient := serve(instance)
-		bystander := engineClient.start(context.Background(), "bystander", chat+"}")
-		next(bystander)
+		engineClient := startServer(instance)
+		bystander := engineClient.startStream(context.Background(), "bystander", chat+"}")
+		nextEvent(bystander)
 
 		_, err := engineClient.post(context.Background(), "/v1/completions", "poison", `{"model":"small","prompt":"crash-upstream"}`)
 		Expect(err).To(HaveOccurred())
@@ -255,25 +256,25 @@
 	})
 
 	It("freezes streams and new requests until the engine is thawed", func() {
-		options := quick()
+		options := fastOptions()
 		options.MaxTokens = 2
 		options.TokenEvery = 50 * time.Millisecond
 		instance := engine.New(options)
-		engineClient := serve(instance)
-		stream := engineClient.start(context.Background(), "a", `{"model":"small","stream":true,"max_tokens":50,"messages":[]}`)
-		next(stream)
+		engineClient := startServer(instance)
+		stream := engineClient.startStream(context.Background(), "a", `{"model":"small","stream":true,"max_tokens":50,"messages":[]}`)
+		nextEvent(stream)
 		instance.Freeze(true)
 		Expect(instance.Alive()).To(BeFalse())
 		answered := make(chan struct{})
 		go func() {
 			defer GinkgoRecover()
-			engineClient.ask("b", `{"model":"small","prompt":"x"}`)
+			engineClient.complete("b", `{"model":"small","prompt":"x"}`)
 			close(answered)
 		}()
 		Consistently(answered).Should(Not(BeClosed()))
 		instance.Freeze(false)
 		Eventually(answered).WithTimeout(time.Minute).Should(BeClosed())
-		_, token, _ := rest(stream)
+		_, token, _ := readStream(stream)
 		Expect(token).To(Equal(50))
 	})
 })
--- a/standin/engine/generate.go
+++ b/standin/engine/generate.go
@@ -10,18 +10,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// run is one request from its arrival to its end.
+// run is a request from its arrival to its end, including the wait for a slot.
 type run struct {
 	id     string
 	cancel context.CancelCauseFunc
 }
 
-// Token gives token n (from 1) of the answer to a prompt.
+// Token returns token n, counted from 1, of the answer to a prompt.
 func Token(prompt string, n int) string {
 	return fmt.Sprintf("%08x-%d ", uint32(xxhash.Sum64String(prompt)), n)
 }
 
-// Answer gives the whole answer of so many tokens to a prompt.
+// Answer returns the first tokens of the answer to a prompt as one text.
 func Answer(prompt string, tokens int) string {
 	var answer strings.Builder
 	for n := 1; n <= tokens; n++ {
@@ -30,7 +30,7 @@
 	return answer.String()
 }
 
-// track registers a run, so that cancel can find it, until done is called.
+// track registers a run until done is called, so that Cancel can find it.
 func (e *Engine) track(parent context.Context, id string) (ctx context.Context, done func()) {
 	ctx, cancel := context.WithCancelCause(parent)
 	tracked := &run{id: id, cancel: cancel}
@@ -45,7 +45,7 @@
 	}
 }
 
-// Cancel ends the runs of a request ID, and says whether there were any.
+// Cancel ends all runs with the request ID and reports whether there were any.
 func (e *Engine) Cancel(requestID string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -59,30 +59,30 @@
 	return found
 }
 
-// sink takes what a run generates.
-type sink interface {
-	admitted(queued bool) error // the run has its slot; queued if it had to wait
-	token(n int, text string) error
+// tokenWriter receives the tokens that a run generates.
+type tokenWriter interface {
+	admitted(queued bool) error // called when the run has its slot; queued if it had to wait
+	writeToken(n int, text string) error
 }
 
-// generate waits for a slot and gives the tokens that follow req.resumeFrom to
-// out at the engine's pace. It returns the number of the last token given.
-func (e *Engine) generate(ctx context.Context, req *request, out sink) (int, error) {
+// generate waits for a slot and writes the tokens after req.resumeFrom to out at the
+// engine's pace. It returns the number of the last token written.
+func (e *Engine) generate(ctx context.Context, req *request, out tokenWriter) (int, error) {
 	arrived := time.Now()
-	queued, err := e.acquire(ctx)
+	queued, err := e.acquireSlot(ctx)
 	if err != nil {
 		return req.resumeFrom, err
 	}
-	defer e.release()
+	defer e.releaseSlot()
 
-	// Logged before anyone can see that it runs: a run that a caller was told
-	// of is in the log also if the process is killed next.
-	entry := req.entry()
+	// The start is logged before the caller can see that the request runs, so that
+	// the log contains the run even if the process is killed right afterwards.
+	entry := req.newRunEntry()
 	entry.Waited = entry.Started.Sub(arrived)
 	e.log.start(entry)
 	tokens := req.resumeFrom
 	if err = out.admitted(queued); err == nil {
-		tokens, err = e.decode(ctx, req, out)
+		tokens, err = e.generateTokens(ctx, req, out)
 	}
 	e.log.end(entry, outcomeOf(err), tokens-req.resumeFrom)
 	return tokens, err
@@ -99,20 +99,22 @@
 	}
 }
 
-func (e *Engine) decode(ctx context.Context, req *request, out sink) (int, error) {
+// generateTokens writes the tokens after req.resumeFrom to out at the engine's pace, and
+// returns the number of the last one written.
+func (e *Engine) generateTokens(ctx context.Context, req *request, out tokenWriter) (int, error) {
 	last := req.resumeFrom
 	due := time.Now().Add(e.prefillTime(req.prompt))
 	timer := time.NewTimer(time.Until(due))
 	defer timer.Stop()
 	for last < req.maxTokens {
-		if err := e.wait(ctx, timer); err != nil {
+		if err := e.waitForToken(ctx, timer); err != nil {
 			return last, err
 		}
-		if req.crashes {
+		if req.triggersCrash {
 			e.Crash()
 			return last, errCrashed
 		}
-		if err := out.token(last+1, Token(req.prompt, last+1)); err != nil {
+		if err := out.writeToken(last+1, Token(req.prompt, last+1)); err != nil {
 			return last, err
 		}
 		last++
@@ -122,35 +124,36 @@
 	return last, nil
 }
 
-// wait returns when the timer fires and the engine is not frozen.
-func (e *Engine) wait(ctx context.Context, timer *time.Timer) error {
+// waitForToken waits until the timer fires and the engine is not frozen.
+func (e *Engine) waitForToken(ctx context.Context, timer *time.Timer) error {
 	select {
 	case <-timer.C:
 		return e.waitThawed(ctx)
 	case <-ctx.Done():
 		return context.Cause(ctx)
-	case <-e.dead:
+	case <-e.done:
 		return errCrashed
 	}
 }
 
-// prefillTime gives the time to the first token, and caches the prefix.
+// prefillTime returns the time to the first token and caches the prompt's prefix.
 func (e *Engine) prefillTime(prompt string) time.Duration {
 	prefix := prompt[:min(len(prompt), e.options.PrefixBytes)]
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.prefixes.use(prefix) {
+	if e.prefixes.lookupOrAdd(prefix) {
 		return e.options.FirstTokenCached
 	}
 	return e.options.FirstToken
 }
 
-// stepTime gives the time to the next token, which grows with the batch.
+// stepTime returns the time to the next token, which increases with the number of
+// running requests.
 func (e *Engine) stepTime() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	others := max(e.running-1, 0)
-	return e.options.TokenEvery + time.Duration(others)*e.options.TokenPerRunning
+	concurrent := max(e.running-1, 0)
+	return e.options.TokenEvery + time.Duration(concurrent)*e.options.TokenPerRunning
 }
 
 func (e *Engine) serveCancel(w http.ResponseWriter, r *http.Request) {
@@ -161,11 +164,11 @@
 		return
 	}
 	if !e.options.CanCancel {
-		writeError(w, http.StatusNotImplemented, "cannot_cancel", "this engine cannot cancel; close the connection")
+		writeError(w, http.StatusNotImplemented, "cannot_cancel", "this engine does not support cancellation; close the connection instead")
 		return
 	}
 	if !e.Cancel(body.RequestID) {
-		writeError(w, http.StatusNotFound, "not_running", "no request "+body.RequestID+" runs here")
+		writeError(w, http.StatusNotFound, "not_running", "request "+body.RequestID+" is not running on this engine")
 		return
 	}
 	writeJSON(w, http.StatusOK, body)
--- a/standin/engine/load.go
+++ b/standin/engine/load.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Load is what GET /v1/load answers.
+// Load is the response body of GET /v1/load.
 type Load struct {
 	Running    int   `json:"running"`
 	Queued     int   `json:"queued"`
@@ -10,7 +10,7 @@
 	PrefixHits int64 `json:"prefix_hits"`
 }
 
-// loadHistory remembers recent loads, to report the one of lag ago.
+// loadHistory keeps recent loads in order to report the load as it was lag ago.
 type loadHistory struct {
 	lag     time.Duration
 	changes []loadChange
@@ -31,7 +31,8 @@
 	return h.changes[0].load
 }
 
-// prune drops all changes that a later one, already older than lag, replaced.
+// prune removes all changes but the last of those that are at least lag old, and
+// keeps all newer ones.
 func (h *loadHistory) prune(now time.Time) {
 	first := 0
 	for first+1 < len(h.changes) && now.Sub(h.changes[first+1].at) >= h.lag {
--- a/standin/engine/options.go
+++ b/standin/engine/options.go
@@ -1,11 +1,12 @@
-// Package engine is a small stand-in for a model engine. It batches
-// continuously over a fixed number of slots, admits requests first in first
-// out without priorities, remembers prompt prefixes in a cache of limited
-// size, streams tokens at a set pace, cancels and resumes streams, reports its
-// load with a lag and takes orders with fencing numbers.
+// Package engine simulates a model engine for tests and experiments. The simulated
+// engine runs requests concurrently in a fixed number of slots (continuous batching),
+// admits them in order of arrival without priorities, caches a limited number of
+// prompt prefixes, streams tokens at a configured pace, supports cancelling and
+// resuming streams, reports its load with a lag and executes orders with fencing
+// numbers.
 //
-// It generates no language: token n of an answer is a function of the prompt
-// and n alone (see Token), so that a test can tell whose answer it got.
+// Token n of an answer is a function of the prompt and n alone (see Token), so that a
+// test can check that an answer belongs to its request.
 package engine
 
 import (
@@ -18,41 +19,41 @@
 // Options set the size and behaviour of an Engine.
 type Options struct {
 	Replica     string
-	Incarnation int64 // start of the process in milliseconds since 1970
+	Incarnation int64 // start time of the process in Unix milliseconds
 	Models      []announce.Model
 	Role        string // "both", "prefill" or "decode"
 
-	Slots     int // streams that run at the same time
-	MaxTokens int // tokens of an answer whose request sets no limit
+	Slots     int // requests that run at the same time
+	MaxTokens int // tokens of an answer if the request sets no limit
 
 	FirstToken       time.Duration // time to the first token, prefix not cached
 	FirstTokenCached time.Duration // time to the first token, prefix cached
 	TokenEvery       time.Duration // time between tokens of one stream
 	TokenPerRunning  time.Duration // added to TokenEvery for each other running stream
 
-	CachedPrefixes int           // prefixes remembered, least recently used out first
-	PrefixBytes    int           // leading bytes of a prompt that make its prefix
-	LoadLag        time.Duration // age of the load that Load reports
-	OrderTime      time.Duration // time that an order takes to apply
+	CachedPrefixes int           // size of the prefix cache, which evicts the least recently used
+	PrefixBytes    int           // length of the prefix that is cached of a prompt
+	LoadLag        time.Duration // age of the load that Load returns
+	OrderTime      time.Duration // time that it takes to apply an order
 
-	ChecksFencing bool // refuse orders with an old fencing number
+	ChecksFencing bool // refuse orders with an outdated fencing number
 	CanResume     bool
 	CanCancel     bool
 
-	// CrashMarker in a request's body crashes the engine when the request has
-	// its first token; empty turns that off.
+	// CrashMarker is a text that crashes the engine if a request contains it, at the
+	// time of the request's first token. Empty disables this.
 	CrashMarker string
-	// OnCrash is called when a marked request crashes the engine. If nil, the
-	// engine drops all connections and answers nothing any more.
+	// OnCrash is called once when the engine crashes; it may end the process. If nil,
+	// a crashed engine drops all connections.
 	OnCrash func()
 
-	// Log receives one JSON line at each start and end of a run, so that a
+	// Log receives a JSON line at the start and at the end of each run, so that the
 	// history can be checked after the process was killed. May be nil.
 	Log io.Writer
 }
 
-// Defaults give an engine that is quick enough for tests: 8 slots, 16 tokens
-// an answer, 20 ms to the first token and 2 ms between tokens.
+// Defaults returns options that are fast enough for tests: 8 slots, 16 tokens per
+// answer, 20 ms to the first token and 2 ms between tokens.
 func Defaults() Options {
 	return Options{
 		Models:           []announce.Model{{Name: "small", Version: "1"}},
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -11,13 +11,13 @@
 
 // Kinds of orders.
 const (
-	OrderLoadModel   = "load_model"   // load model at version, beside the others
-	OrderUnloadModel = "unload_model" // drop model at version
+	OrderLoadModel   = "load_model"   // load a version of a model in addition to those loaded
+	OrderUnloadModel = "unload_model" // unload a version of a model
 	OrderLoadAdapter = "load_adapter"
 	OrderSetRole     = "set_role"
 )
 
-// Order is one change that an engine is told to make.
+// Order is a change to the engine's models, adapters or role.
 type Order struct {
 	Kind    string `json:"kind"`
 	Model   string `json:"model,omitempty"`
@@ -32,10 +32,10 @@
 	Order Order  `json:"order"`
 }
 
-// OrderReport is what GET /v1/orders answers: the engine's state, and the
-// orders that made it so, in the order in which they took effect.
+// OrderReport is the response body of GET /v1/orders: the engine's state and the
+// orders that led to it, in the sequence in which they were applied.
 type OrderReport struct {
-	Fence         uint64           `json:"fence"` // highest seen
+	Fence         uint64           `json:"fence"` // highest fencing number received
 	ChecksFencing bool             `json:"checks_fencing"`
 	Models        []announce.Model `json:"models"`
 	Adapters      []string         `json:"adapters"`
@@ -55,20 +55,20 @@
 	return orderState{models: slices.Clone(options.Models), role: options.Role}
 }
 
-// stale says whether an engine that checks fencing numbers must refuse the
-// order. The caller holds e.mu.
-func (e *Engine) stale(fence uint64) bool {
+// isStale reports whether the engine checks fencing numbers and must refuse an order
+// with this one. The caller holds e.mu.
+func (e *Engine) isStale(fence uint64) bool {
 	return e.options.ChecksFencing && fence < e.orders.fence
 }
 
-// Execute applies an order after OrderTime. An engine that checks fencing
-// numbers refuses an old one, on arrival and again when it would take effect:
-// a newer order may have come in the meantime.
+// Execute applies an order after OrderTime. An engine that checks fencing numbers
+// refuses an outdated one both on arrival and before applying it, because a newer
+// order may have arrived in the meantime.
 func (e *Engine) Execute(order OrderRequest) error {
 	e.mu.Lock()
-	if e.stale(order.Fence) {
+	if e.isStale(order.Fence) {
 		defer e.mu.Unlock()
-		return fmt.Errorf("fencing number %d is older than %d", order.Fence, e.orders.fence)
+		return fmt.Errorf("fencing number %d is outdated: it is older than %d", order.Fence, e.orders.fence)
 	}
 	e.orders.fence = max(e.orders.fence, order.Fence)
 	e.mu.Unlock()
@@ -77,8 +77,8 @@
 
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.stale(order.Fence) {
-		return fmt.Errorf("fencing number %d became older than %d", order.Fence, e.orders.fence)
+	if e.isStale(order.Fence) {
+		return fmt.Errorf("fencing number %d is outdated: an order with %d arrived before it was applied", order.Fence, e.orders.fence)
 	}
 	if err := e.orders.apply(order.Order); err != nil {
 		return err
@@ -103,12 +103,12 @@
 	case OrderSetRole:
 		s.role = order.Role
 	default:
-		return fmt.Errorf("unknown kind of order %q", order.Kind)
+		return fmt.Errorf("unknown order kind %q", order.Kind)
 	}
 	return nil
 }
 
-// OrderReport gives the state that orders made.
+// OrderReport returns the engine's state and the applied orders.
 func (e *Engine) OrderReport() OrderReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine/request.go
+++ b/standin/engine/request.go
@@ -23,25 +23,25 @@
 	IdempotencyKeyHeader = "Idempotency-Key"
 )
 
-// maxBody bounds a request's body.
+// maxBody is the size limit of a request body in bytes.
 const maxBody = 8 << 20
 
-// request is one completion to generate.
+// request is a parsed completion request.
 type request struct {
 	id             string
 	itemID         string
 	idempotencyKey string
 
-	model      string
-	prompt     string
-	maxTokens  int
-	stream     bool
-	usage      bool
-	resumeFrom int
-	crashes    bool
+	model         string
+	prompt        string
+	maxTokens     int
+	stream        bool
+	includeUsage  bool
+	resumeFrom    int
+	triggersCrash bool
 }
 
-// completionBody holds the fields of both OpenAI requests that matter here.
+// completionBody holds the fields used of OpenAI chat and text completion requests.
 type completionBody struct {
 	Model               string          `json:"model"`
 	Messages            []message       `json:"messages"`
@@ -63,7 +63,8 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// readRequest parses a chat or text completion. Its error is for the caller.
+// readRequest parses a chat or text completion request. Its error is sent to the
+// caller.
 func (e *Engine) readRequest(r *http.Request) (*request, error) {
 	raw, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
 	if err != nil {
@@ -81,30 +82,32 @@
 		prompt:         body.promptText(),
 		maxTokens:      e.tokenLimit(&body),
 		stream:         body.Stream,
-		usage:          body.StreamOptions.IncludeUsage,
+		includeUsage:   body.StreamOptions.IncludeUsage,
 		resumeFrom:     body.Slateway.ResumeFrom,
 	}
 	if req.id == "" {
 		req.id = uuid.NewString()
 	}
-	req.crashes = e.options.CrashMarker != "" && bytes.Contains(raw, []byte(e.options.CrashMarker))
-	return req, e.checkResume(req, body.Slateway.Prefix)
+	req.triggersCrash = e.options.CrashMarker != "" && bytes.Contains(raw, []byte(e.options.CrashMarker))
+	return req, e.validateResume(req, body.Slateway.Prefix)
 }
 
-func (e *Engine) checkResume(req *request, prefix string) error {
+// validateResume checks resume_from and the prefix that was already received.
+func (e *Engine) validateResume(req *request, prefix string) error {
 	switch {
 	case req.resumeFrom == 0:
 		return nil
 	case !e.options.CanResume:
-		return errors.New("this engine cannot resume; send the request without resume_from")
+		return errors.New("this engine cannot resume an answer; send the request without resume_from")
 	case req.resumeFrom < 0 || req.resumeFrom > req.maxTokens:
-		return fmt.Errorf("resume_from %d is outside the answer's %d tokens", req.resumeFrom, req.maxTokens)
+		return fmt.Errorf("resume_from %d is outside the answer's range of 0 to %d tokens", req.resumeFrom, req.maxTokens)
 	case prefix != Answer(req.prompt, req.resumeFrom):
-		return fmt.Errorf("the prefix is not the first %d tokens of the answer to this request", req.resumeFrom)
+		return fmt.Errorf("prefix does not match the first %d tokens of the answer to this request", req.resumeFrom)
 	}
 	return nil
 }
 
+// tokenLimit returns the number of tokens to generate.
 func (e *Engine) tokenLimit(body *completionBody) int {
 	switch {
 	case body.MaxCompletionTokens > 0:
@@ -115,20 +118,21 @@
 	return e.options.MaxTokens
 }
 
-// promptText joins the contents of all messages, or gives the prompt.
+// promptText returns the contents of all messages joined by newlines, or the prompt if
+// there are no messages.
 func (b *completionBody) promptText() string {
 	if len(b.Messages) == 0 {
-		return plainText(b.Prompt)
+		return stringOrRaw(b.Prompt)
 	}
 	contents := make([]string, len(b.Messages))
 	for i, message := range b.Messages {
-		contents[i] = plainText(message.Content)
+		contents[i] = stringOrRaw(message.Content)
 	}
 	return strings.Join(contents, "\n")
 }
 
-// plainText gives the value of a JSON string, or other JSON as it stands.
-func plainText(raw json.RawMessage) string {
+// stringOrRaw returns the value of a JSON string, and any other JSON unchanged.
+func stringOrRaw(raw json.RawMessage) string {
 	var text string
 	if json.Unmarshal(raw, &text) == nil {
 		return text
@@ -136,7 +140,8 @@
 	return string(raw)
 }
 
-func (r *request) entry() *RunEntry {
+// newRunEntry returns a RunEntry for a run that starts now.
+func (r *request) newRunEntry() *RunEntry {
 	return &RunEntry{
 		RequestID:      r.id,
 		ItemID:         r.itemID,
@@ -147,15 +152,17 @@
 	}
 }
 
-// hasModel says whether a model is loaded, named alone or as name@version.
+// hasModel reports whether a model is loaded. wanted is a name or name@version.
 func (e *Engine) hasModel(wanted string) bool {
 	return slices.ContainsFunc(e.Models(), func(model announce.Model) bool {
 		return wanted == model.Name || wanted == model.Name+"@"+model.Version
 	})
 }
 
-func decodeJSON(w http.ResponseWriter, r *http.Request, into any) bool {
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(into); err != nil {
+// decodeJSON decodes the request body into target. On failure it sends an error response
+// and returns false.
+func decodeJSON(w http.ResponseWriter, r *http.Request, target any) bool {
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(target); err != nil {
 		writeError(w, http.StatusBadRequest, "invalid_json", err.Error())
 		return false
 	}
--- a/standin/engine/runlog.go
+++ b/standin/engine/runlog.go
@@ -7,39 +7,40 @@
 	"time"
 )
 
-// maxLogged bounds the runs that are kept in memory; the counters go on.
-const maxLogged = 200_000
+// maxLoggedRuns is the number of runs that are kept in memory. The counters include
+// later runs too.
+const maxLoggedRuns = 200_000
 
-// maxLoggedPrompt bounds the bytes of a prompt that a log entry keeps.
+// maxLoggedPrompt is the number of leading bytes of a prompt that a log entry keeps.
 const maxLoggedPrompt = 128
 
-// Outcome says how a run ended.
+// Outcome is how a run ended.
 type Outcome string
 
 // Outcomes of a run.
 const (
 	OutcomeRan       Outcome = "ran"       // all tokens were generated and written
-	OutcomeCancelled Outcome = "cancelled" // cancelled, or the caller's connection closed
-	OutcomeCrashed   Outcome = "crashed"   // the engine crashed meanwhile
+	OutcomeCancelled Outcome = "cancelled" // cancelled, or the caller closed the connection
+	OutcomeCrashed   Outcome = "crashed"   // the engine crashed during the run
 )
 
-// RunEntry tells of one run: a request that got a slot.
+// RunEntry is the log entry of a run, which is a request that got a slot.
 type RunEntry struct {
 	RequestID      string    `json:"request_id"`
 	ItemID         string    `json:"item_id,omitempty"`
 	IdempotencyKey string    `json:"idempotency_key,omitempty"`
-	Prompt         string    `json:"prompt"` // its first 128 bytes
+	Prompt         string    `json:"prompt"` // the first 128 bytes
 	ResumeFrom     int       `json:"resume_from,omitempty"`
 	Started        time.Time `json:"started"`
-	// Waited is how long the request waited for its slot, in ns.
+	// Waited is how long the request waited for its slot, in nanoseconds.
 	Waited  time.Duration `json:"waited"`
 	Ended   time.Time     `json:"ended,omitzero"`
 	Outcome Outcome       `json:"outcome,omitempty"` // empty while it runs
 	Tokens  int           `json:"tokens"`
 }
 
-// LogReport is what GET /v1/log answers. Waiting requests that were cancelled
-// before they got a slot are not in it: they did not run.
+// LogReport is the response body of GET /v1/log. It excludes requests that were
+// cancelled before they got a slot, as they did not run.
 type LogReport struct {
 	Started   int64      `json:"started"`
 	Ran       int64      `json:"ran"`
@@ -52,7 +53,7 @@
 	mu     sync.Mutex
 	counts LogReport
 	runs   []*RunEntry
-	lines  *json.Encoder // nil without a log file
+	lines  *json.Encoder // writes the log file; nil if there is none
 }
 
 func newRunLog(file io.Writer) *runLog {
@@ -67,7 +68,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Started++
-	if len(l.runs) < maxLogged {
+	if len(l.runs) < maxLoggedRuns {
 		l.runs = append(l.runs, entry)
 	}
 	l.write(entry)
--- a/standin/engine/sinks.go
+++ b/standin/engine/sinks.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// QueuedHeader is 1 in an answer whose request had to wait for a slot, else 0.
+// QueuedHeader is 1 in a response if the request had to wait for a slot, else 0.
 const QueuedHeader = "Slateway-Queued"
 
 func setQueued(header http.Header, queued bool) {
@@ -18,32 +18,32 @@
 	header.Set(QueuedHeader, value)
 }
 
-// wholeAnswer collects an answer that is sent in one piece.
-type wholeAnswer struct {
+// bufferedWriter collects the answer to a non-streaming request.
+type bufferedWriter struct {
 	header http.Header
 	text   strings.Builder
 }
 
-func (a *wholeAnswer) admitted(queued bool) error {
+func (a *bufferedWriter) admitted(queued bool) error {
 	setQueued(a.header, queued)
 	return nil
 }
 
-func (a *wholeAnswer) token(_ int, text string) error {
+func (a *bufferedWriter) writeToken(_ int, text string) error {
 	a.text.WriteString(text)
 	return nil
 }
 
-// eventWriter sends an answer as server-sent events and flushes each.
+// eventWriter sends an answer as server-sent events and flushes after each.
 type eventWriter struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
 	request *request
-	shape   shape
+	format  responseFormat
 	started bool
 }
 
-// admitted sends the headers: they tell the gate that the request runs.
+// admitted sends the response headers, which notify the gate that the request runs.
 func (e *eventWriter) admitted(queued bool) error {
 	e.started = true
 	setQueued(e.w.Header(), queued)
@@ -53,17 +53,18 @@
 	return e.control.Flush()
 }
 
-func (e *eventWriter) token(n int, text string) error {
+func (e *eventWriter) writeToken(n int, text string) error {
 	return e.write(e.chunk(choice{}, text, n))
 }
 
-// finish sends the last events of a stream after its last token.
+// finish sends the events after the last token: the finish reason, the usage if it
+// was requested, and [DONE].
 func (e *eventWriter) finish(tokens int, reason string) {
 	if e.write(e.chunk(choice{FinishReason: finishReason(reason)}, "", tokens)) != nil {
 		return
 	}
-	if e.request.usage {
-		total := e.request.completion(e.shape.chunkObject)
+	if e.request.includeUsage {
+		total := e.request.completion(e.format.chunkObject)
 		total.Choices = []choice{}
 		total.Usage = e.request.usageOf(tokens)
 		if e.write(total) != nil {
@@ -74,8 +75,8 @@
 }
 
 func (e *eventWriter) chunk(part choice, text string, token int) completion {
-	chunk := e.request.completion(e.shape.chunkObject)
-	e.shape.fill(&part, text, true)
+	chunk := e.request.completion(e.format.chunkObject)
+	e.format.setText(&part, text, true)
 	chunk.Choices = []choice{part}
 	chunk.Slateway = &progress{Token: token}
 	return chunk
