--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -123,8 +123,8 @@
 	return append([]announce.Model(nil), e.orders.models...)
 }
 
-// Busy returns the current number of running and waiting requests, without lag.
-func (e *Engine) Busy() int {
+// ActiveRequests returns the current number of running and waiting requests, without lag.
+func (e *Engine) ActiveRequests() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.running + len(e.waiting)
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -119,7 +119,7 @@
 const chat = `{"model":"small","stream":true,"max_tokens":3,"messages":[{"role":"user","content":"hello"}]`
 
 var _ = Describe("an answer", func() {
-	It("is made from its own prompt, streamed or plain", func() {
+	It("depends only on its own prompt, streamed or not", func() {
 		engineClient := startServer(engine.New(fastOptions()))
 		text, token, reason := readStream(engineClient.startStream(context.Background(), "a", chat+"}"))
 		Expect(text).To(Equal(engine.Answer("hello", 3)))
@@ -131,7 +131,7 @@
 		Expect(plain).To(ContainSubstring(engine.Answer("bye", 2)))
 	})
 
-	It("continues after the token that a resumed request names", func() {
+	It("continues after the token given by resume_from", func() {
 		instance := engine.New(fastOptions())
 		engineClient := startServer(instance)
 		prefix := engine.Answer("hello", 2)
@@ -152,7 +152,7 @@
 })
 
 var _ = Describe("the batch", func() {
-	It("admits first in first out and cancels what runs or waits", func() {
+	It("admits requests in order of arrival and cancels running and waiting ones", func() {
 		options := fastOptions()
 		options.Slots = 1
 		options.TokenEvery = neverElapses
@@ -168,7 +168,7 @@
 				_, text := engineClient.complete(id, `{"model":"small","max_tokens":1,"prompt":"x"}`)
 				answered <- id + " " + text
 			}()
-			Eventually(instance.Busy).WithTimeout(time.Minute).Should(Equal(queued + 2))
+			Eventually(instance.ActiveRequests).WithTimeout(time.Minute).Should(Equal(queued + 2))
 		}
 		Expect(instance.Load()).To(Equal(engine.Load{Running: 1, Queued: 2, Slots: 1}))
 
@@ -183,21 +183,21 @@
 		Expect(<-answered).To(ContainSubstring(engine.Answer("x", 1)))
 	})
 
-	It("frees the slot of a caller whose connection closed", func() {
+	It("frees the slot of a caller that disconnected", func() {
 		options := fastOptions()
 		options.Slots = 1
 		options.TokenEvery = neverElapses
 		instance := engine.New(options)
-		ctx, hangUp := context.WithCancel(context.Background())
+		ctx, disconnect := context.WithCancel(context.Background())
 		nextEvent(startServer(instance).startStream(ctx, "a", chat+"}"))
-		hangUp()
-		Eventually(instance.Busy).WithTimeout(time.Minute).Should(BeZero())
+		disconnect()
+		Eventually(instance.ActiveRequests).WithTimeout(time.Minute).Should(BeZero())
 		Expect(instance.Log().Cancelled).To(BeEquivalentTo(1))
 	})
 })
 
 var _ = Describe("the prefix cache", func() {
-	It("counts a hit for a known prefix, and forgets the least recently used", func() {
+	It("counts a hit for a cached prefix and evicts the least recently used one", func() {
 		options := fastOptions()
 		options.CachedPrefixes = 2
 		options.PrefixBytes = 1
@@ -233,7 +233,7 @@
 })
 
 var _ = Describe("a fault", func() {
-	It("crashes the engine under all its streams when a request is marked", func() {
+	It("crashes the engine and ends all its streams when a request contains the crash marker", func() {
 		var lines bytes.Buffer
 		options := fastOptions()
 		options.TokenEvery = neverElapses
@@ -255,7 +255,7 @@
 		Expect(strings.Count(lines.String(), "\n")).To(Equal(4))
 	})
 
-	It("freezes streams and new requests until the engine is thawed", func() {
+	It("suspends streams and new requests while the engine is frozen", func() {
 		options := fastOptions()
 		options.MaxTokens = 2
 		options.TokenEvery = 50 * time.Millisecond
--- a/standin/engine/generate.go
+++ b/standin/engine/generate.go
@@ -91,7 +91,7 @@
 func outcomeOf(err error) Outcome {
 	switch err {
 	case nil:
-		return OutcomeRan
+		return OutcomeCompleted
 	case errCrashed:
 		return OutcomeCrashed
 	default:
--- a/standin/engine/runlog.go
+++ b/standin/engine/runlog.go
@@ -19,7 +19,7 @@
 
 // Outcomes of a run.
 const (
-	OutcomeRan       Outcome = "ran"       // all tokens were generated and written
+	OutcomeCompleted Outcome = "ran"       // all tokens were generated and written
 	OutcomeCancelled Outcome = "cancelled" // cancelled, or the caller closed the connection
 	OutcomeCrashed   Outcome = "crashed"   // the engine crashed during the run
 )
@@ -81,7 +81,7 @@
 	entry.Outcome = outcome
 	entry.Tokens = tokens
 	switch outcome {
-	case OutcomeRan:
+	case OutcomeCompleted:
 		l.counts.Ran++
 	case OutcomeCancelled:
 		l.counts.Cancelled++
--- a/standin/host/host.go
+++ b/standin/host/host.go
@@ -1,5 +1,5 @@
-// Package host runs a stand-in as a process: its listener, its announcements
-// and its graceful end.
+// Package host runs a simulated upstream as a process. It provides the listener, the
+// announcements to gates and a graceful shutdown.
 package host
 
 import (
@@ -15,43 +15,43 @@
 	"slateway.example/slateway/standin/announce"
 )
 
-// Upstream is a stand-in that a process hosts.
+// Upstream is a simulated upstream that the process serves.
 type Upstream interface {
 	http.Handler
-	Alive() bool
-	Busy() int // requests that run or wait
+	Alive() bool         // has not crashed and is not frozen
+	ActiveRequests() int // number of running and waiting requests
 }
 
-// drainPoll is how often a leaving stand-in looks whether it is idle.
-const drainPoll = 20 * time.Millisecond
+// drainPollInterval is how often drain checks whether all requests have finished.
+const drainPollInterval = 20 * time.Millisecond
 
-// Settings say how a stand-in is hosted.
+// Settings are the settings of the process that serves an upstream.
 type Settings struct {
 	Listen        string
 	Gates         []announce.Gate
 	AnnounceEvery time.Duration
-	LeaveGrace    time.Duration // how long a leaving stand-in still takes new requests
+	LeaveGrace    time.Duration // how long new requests are accepted after the shutdown began
 	Identity      announce.Announcement
 }
 
-// Flags are the command-line flags that every stand-in has.
+// Flags returns the command-line flags common to all simulated upstreams.
 func Flags() []cli.Flag {
 	return []cli.Flag{
-		&cli.StringFlag{Name: "listen", Value: "127.0.0.1:0", Usage: "`IP:PORT` to serve on; port 0 takes a free one"},
-		&cli.StringSliceFlag{Name: "gate", Usage: "`IP:PORT` of a gate's callers' listener to announce to, =IP:PORT to announce that address there; repeatable"},
-		&cli.StringFlag{Name: "service", Usage: "`NAME` of the service that this replica is of", Required: true},
+		&cli.StringFlag{Name: "listen", Value: "127.0.0.1:0", Usage: "`IP:PORT` to serve on; port 0 picks a free port"},
+		&cli.StringSliceFlag{Name: "gate", Usage: "`IP:PORT` of the caller listener of a gate to announce to; append =IP:PORT to announce that address instead of the listener's own; repeatable"},
+		&cli.StringFlag{Name: "service", Usage: "`NAME` of the service that this replica belongs to", Required: true},
 		&cli.StringFlag{Name: "replica", Usage: "`NAME` of this replica", Required: true},
 		&cli.StringFlag{Name: "place", Value: "local", Usage: "`NAME` of the place"},
 		&cli.StringFlag{Name: "vm", Value: "local", Usage: "`NAME` of the VM"},
 		&cli.DurationFlag{Name: "announce-every", Value: time.Second, Usage: "time between announcements"},
-		&cli.DurationFlag{Name: "leave-grace", Value: 2 * time.Second, Usage: "time after SIGTERM in which new requests are still taken"},
-		&cli.IntFlag{Name: "slots", Value: 8, Usage: "requests that run at the same time"},
-		&cli.StringFlag{Name: "run-log", Usage: "`FILE` that gets a JSON line at each start and end of a run"},
-		&cli.StringFlag{Name: "crash-marker", Value: "crash-upstream", Usage: "`TEXT` whose request ends this process; empty for none"},
+		&cli.DurationFlag{Name: "leave-grace", Value: 2 * time.Second, Usage: "time after SIGTERM during which new requests are still accepted"},
+		&cli.IntFlag{Name: "slots", Value: 8, Usage: "number of requests that run at the same time"},
+		&cli.StringFlag{Name: "run-log", Usage: "`FILE` to append a JSON line to at the start and at the end of each run"},
+		&cli.StringFlag{Name: "crash-marker", Value: "crash-upstream", Usage: "`TEXT` that ends this process if a request contains it; empty disables this"},
 	}
 }
 
-// SettingsFrom reads the values of Flags.
+// SettingsFrom returns the settings that the values of Flags describe.
 func SettingsFrom(command *cli.Command, kind string) Settings {
 	var gates []announce.Gate
 	for _, text := range command.StringSlice("gate") {
@@ -74,7 +74,8 @@
 	}
 }
 
-// OpenRunLog opens the file of --run-log for appending; nil without the flag.
+// OpenRunLog opens the file given by --run-log for appending. It returns nil if the
+// flag is not set.
 func OpenRunLog(command *cli.Command) (*os.File, error) {
 	name := command.String("run-log")
 	if name == "" {
@@ -83,19 +84,20 @@
 	return os.OpenFile(name, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 }
 
-// Run serves upstream and announces it until ctx ends. Then it announces that
-// it leaves, takes requests for LeaveGrace more, finishes all that run, and
-// returns. refresh sets the changing fields of an announcement.
+// Run serves upstream and announces it until ctx is cancelled. Then it announces that
+// the upstream is leaving, accepts requests for another LeaveGrace, waits until all
+// requests have finished, and returns. refresh sets the fields of an announcement that
+// change over time.
 func Run(ctx context.Context, settings Settings, upstream Upstream, refresh func(*announce.Announcement)) error {
 	listener, err := net.Listen("tcp", settings.Listen)
 	if err != nil {
-		return fmt.Errorf("listen on %s: %w; give another --listen", settings.Listen, err)
+		return fmt.Errorf("listen on %s: %w; choose another address with --listen", settings.Listen, err)
 	}
 	server := &http.Server{Handler: upstream, Protocols: new(http.Protocols)}
 	server.Protocols.SetHTTP1(true)
 	server.Protocols.SetUnencryptedHTTP2(true)
-	served := make(chan error, 1)
-	go func() { served <- server.Serve(listener) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- server.Serve(listener) }()
 	fmt.Printf("serving %s %s on %s\n", settings.Identity.Kind, settings.Identity.Replica, listener.Addr())
 
 	identity := settings.Identity
@@ -108,25 +110,25 @@
 		refresh(current)
 		return true
 	})
-	announcing, stop := context.WithCancel(context.WithoutCancel(ctx))
+	announceCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	go announcer.Run(announcing)
+	go announcer.Run(announceCtx)
 
 	select {
-	case err := <-served:
+	case err := <-serveErr:
 		return fmt.Errorf("serve on %s: %w", listener.Addr(), err)
 	case <-ctx.Done():
 	}
-	announcer.Leave(announcing)
+	announcer.Leave(announceCtx)
 	drain(upstream, settings.LeaveGrace)
 	return server.Shutdown(context.Background())
 }
 
-// drain waits for grace, and on until no request runs or waits. Gates that
-// heard late of the leaving may send until then.
+// drain waits for grace and then until no request runs or waits. Gates that have not
+// yet received the leaving announcement may send requests during that time.
 func drain(upstream Upstream, grace time.Duration) {
 	time.Sleep(grace)
-	for upstream.Busy() > 0 {
-		time.Sleep(drainPoll)
+	for upstream.ActiveRequests() > 0 {
+		time.Sleep(drainPollInterval)
 	}
 }
--- a/standin/link/dark.go
+++ b/standin/link/dark.go
@@ -7,57 +7,60 @@
 	"time"
 )
 
-// Dark is an address on loopback at which connections are neither accepted nor
-// refused, as at a VM that has lost its power.
+// Blackhole is a loopback address that neither accepts nor refuses connections, like
+// the address of a VM that has lost power.
 type Dark struct {
 	Address string // IP:port
 
-	descriptor int // a listener that accepts nothing
-	filling    []net.Conn
+	socket      int        // a listening socket that never accepts
+	connections []net.Conn // they fill the accept queue
 }
 
-// darkAfter is how long a connection on loopback is waited for.
-const darkAfter = 100 * time.Millisecond
+// queueFullTimeout is how long to wait for a loopback connection before the accept
+// queue is considered full.
+const queueFullTimeout = 100 * time.Millisecond
 
-// NewDark makes a dark address: a listener whose queue is full. Close frees it.
+// NewBlackhole returns a blackhole address, implemented as a listener whose accept
+// queue is full. Close releases it.
 func NewDark() (*Dark, error) {
-	descriptor, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
+	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		return nil, err
 	}
-	d := &Dark{descriptor: descriptor}
-	if err := d.fill(); err != nil {
+	d := &Dark{socket: socket}
+	if err := d.fillQueue(); err != nil {
 		d.Close()
 		return nil, err
 	}
 	return d, nil
 }
 
-func (d *Dark) fill() error {
-	if err := syscall.Bind(d.descriptor, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+// fillQueue listens on a free port and connects until the accept queue is full.
+func (d *Dark) fillQueue() error {
+	if err := syscall.Bind(d.socket, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		return err
 	}
-	if err := syscall.Listen(d.descriptor, 0); err != nil {
+	if err := syscall.Listen(d.socket, 0); err != nil {
 		return err
 	}
-	bound, err := syscall.Getsockname(d.descriptor)
+	bound, err := syscall.Getsockname(d.socket)
 	if err != nil {
 		return err
 	}
 	d.Address = fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)
 	for {
-		connection, err := net.DialTimeout("tcp", d.Address, darkAfter)
+		connection, err := net.DialTimeout("tcp", d.Address, queueFullTimeout)
 		if err != nil {
 			return nil // the queue is full
 		}
-		d.filling = append(d.filling, connection)
+		d.connections = append(d.connections, connection)
 	}
 }
 
-// Close frees the address.
+// Close releases the address.
 func (d *Dark) Close() {
-	for _, connection := range d.filling {
+	for _, connection := range d.connections {
 		_ = connection.Close()
 	}
-	_ = syscall.Close(d.descriptor)
+	_ = syscall.Close(d.socket)
 }
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -1,6 +1,7 @@
-// Package link is a TCP relay that behaves like a bad network link: it delays,
-// stalls in one direction or both, and lets open connections go silent for
-// good while new ones work. Tests and experiments put it between processes.
+// Package link provides relays that simulate network faults between processes in tests
+// and experiments. The TCP relay can add delay and packet loss, stall one or both
+// directions, and blackhole the open connections while new ones work. The UDP relay
+// can drop the datagrams of chosen senders.
 package link
 
 import (
@@ -10,103 +11,106 @@
 	"time"
 )
 
-// Condition is the state of a link. The zero Condition passes everything.
+// Condition is the state of a link. The zero Condition forwards everything at once.
 //
-// A stalled direction holds its bytes back and closes nothing, as a network
-// partition does: the sender's kernel goes on sending them again, and they
-// arrive once the partition heals.
+// A stalled direction holds back its bytes without closing the connection, like a
+// network partition, in which the sender's kernel keeps retransmitting. The bytes
+// arrive once the stall ends.
 type Condition struct {
-	StallForward  bool // from the side that connects to the target
-	StallBackward bool // from the target
+	StallForward  bool // from the client to the target
+	StallBackward bool // from the target to the client
 
 	Delay time.Duration // one way
-	// Loss is the share, 0 to 1, of chunks that come Retransmit later, with all
-	// that follow on their connection: what a lost packet does to TCP.
+	// Loss is the fraction, 0 to 1, of chunks that arrive later by Retransmit, together
+	// with everything behind them on the connection. This is how a lost packet affects
+	// TCP.
 	Loss       float64
 	Retransmit time.Duration
 }
 
-// Relay passes connections on to a target.
+// Relay forwards TCP connections to a target.
 type Relay struct {
 	listener net.Listener
 	target   string
 
-	// source names the side that connects; nil if all are treated alike.
+	// source returns the name of the process that opened a connection, or "" if it is
+	// unknown. If nil, all connections have the same condition.
 	source func(net.Conn) string
 
-	mu        sync.Mutex
-	condition Condition
-	bySource  map[string]Condition // instead of condition
-	changed   chan struct{}        // closed at each change of condition
-	random    *rand.Rand
-	open      map[*connection]struct{}
-	closed    bool
+	mu          sync.Mutex
+	condition   Condition
+	bySource    map[string]Condition // overrides condition
+	changed     chan struct{}        // closed and replaced at each change of a condition
+	random      *rand.Rand
+	connections map[*connection]struct{}
+	closed      bool
 }
 
-// connection is one relayed connection.
+// connection is a relayed TCP connection.
 type connection struct {
-	source    string
-	near, far net.Conn
-	silent    chan struct{} // closed once the connection passes nothing more
-	done      chan struct{}
-	once      sync.Once
+	source         string
+	client, server net.Conn      // the accepted connection, and the one to the target
+	blackholed     chan struct{} // closed once the connection forwards nothing any more
+	done           chan struct{} // closed by close
+	once           sync.Once
 }
 
-// Listen starts a relay on address, IP:port, to target. Losses are drawn from
-// seed.
+// Listen starts a relay that listens on address, IP:port, and forwards to target. seed
+// initializes the random choice of lost chunks.
 func Listen(address, target string, seed uint64) (*Relay, error) {
 	return ListenFrom(address, target, seed, nil)
 }
 
-// ListenFrom starts a relay that can treat connections by who opened them:
-// source names the process at a connection's other end, for SetFor. Connections
-// of nobody that it knows are closed, so that none escapes a cut.
+// ListenFrom starts a relay that can have a separate condition for each source, set by
+// SetFor. source returns the name of the process that opened a connection. If it
+// returns "", the relay closes the connection, so that no connection bypasses a
+// simulated partition.
 func ListenFrom(address, target string, seed uint64, source func(net.Conn) string) (*Relay, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	relay := &Relay{
-		listener: listener,
-		target:   target,
-		source:   source,
-		bySource: make(map[string]Condition),
-		changed:  make(chan struct{}),
-		random:   rand.New(rand.NewPCG(seed, 0)),
-		open:     make(map[*connection]struct{}),
+		listener:    listener,
+		target:      target,
+		source:      source,
+		bySource:    make(map[string]Condition),
+		changed:     make(chan struct{}),
+		random:      rand.New(rand.NewPCG(seed, 0)),
+		connections: make(map[*connection]struct{}),
 	}
 	go relay.accept()
 	return relay, nil
 }
 
-// Address is where the relay listens, IP:port.
+// Address returns the IP:port that the relay listens on.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Set changes the link's condition for all connections, old and new, but for
-// those from a source with a condition of its own.
+// Set changes the condition of all open and future connections, except those of a
+// source whose condition SetFor has set.
 func (r *Relay) Set(condition Condition) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.condition = condition
-	r.announceChange()
+	r.notifyChange()
 }
 
-// SetFor changes the condition of a source's connections, old and new.
+// SetFor changes the condition of all open and future connections of a source.
 func (r *Relay) SetFor(source string, condition Condition) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.bySource[source] = condition
-	r.announceChange()
+	r.notifyChange()
 }
 
-// announceChange wakes what waits for another condition. The caller holds r.mu.
-func (r *Relay) announceChange() {
+// notifyChange wakes the goroutines that wait for a change of condition. The caller
+// holds r.mu.
+func (r *Relay) notifyChange() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// conditionOf gives the condition of a source's connections. The caller holds
-// r.mu.
+// conditionOf returns the condition of a source's connections. The caller holds r.mu.
 func (r *Relay) conditionOf(source string) Condition {
 	if own, ok := r.bySource[source]; ok {
 		return own
@@ -114,30 +118,31 @@
 	return r.condition
 }
 
-// SilenceOpen makes the connections that are open now pass nothing any more,
-// and leaves them open; new ones are not affected. It returns their number.
+// BlackholeOpen makes the relay stop forwarding on the connections that are open now,
+// permanently and without closing them. New connections are not affected. It returns
+// the number of connections that it changed.
 func (r *Relay) SilenceOpen() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	count := 0
-	for open := range r.open {
+	for open := range r.connections {
 		select {
-		case <-open.silent:
+		case <-open.blackholed:
 		default:
-			close(open.silent)
+			close(open.blackholed)
 			count++
 		}
 	}
 	return count
 }
 
-// Close ends the relay and its connections.
+// Close stops the relay and closes its connections.
 func (r *Relay) Close() error {
 	err := r.listener.Close()
 	r.mu.Lock()
 	r.closed = true
-	open := r.open
-	r.open = nil
+	open := r.connections
+	r.connections = nil
 	r.mu.Unlock()
 	for connection := range open {
 		connection.close()
@@ -147,56 +152,58 @@
 
 func (r *Relay) accept() {
 	for {
-		near, err := r.listener.Accept()
+		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.serve(near)
+		go r.serve(client)
 	}
 }
 
-func (r *Relay) serve(near net.Conn) {
+// serve connects to the target and relays a connection until both directions end.
+func (r *Relay) serve(client net.Conn) {
 	source := ""
 	if r.source != nil {
-		if source = r.source(near); source == "" {
-			near.Close()
+		if source = r.source(client); source == "" {
+			client.Close()
 			return
 		}
 	}
-	far, err := net.Dial("tcp", r.target)
+	server, err := net.Dial("tcp", r.target)
 	if err != nil {
-		near.Close()
+		client.Close()
 		return
 	}
-	relayed := &connection{source: source, near: near, far: far, silent: make(chan struct{}), done: make(chan struct{})}
-	if !r.add(relayed) {
-		relayed.close()
+	conn := &connection{source: source, client: client, server: server, blackholed: make(chan struct{}), done: make(chan struct{})}
+	if !r.add(conn) {
+		conn.close()
 		return
 	}
 	var directions sync.WaitGroup
-	directions.Go(func() { r.pass(relayed, far, near, func(c Condition) bool { return c.StallForward }) })
-	directions.Go(func() { r.pass(relayed, near, far, func(c Condition) bool { return c.StallBackward }) })
+	directions.Go(func() { r.forward(conn, server, client, func(c Condition) bool { return c.StallForward }) })
+	directions.Go(func() { r.forward(conn, client, server, func(c Condition) bool { return c.StallBackward }) })
 	directions.Wait()
-	relayed.close()
+	conn.close()
 	r.mu.Lock()
-	delete(r.open, relayed)
+	delete(r.connections, conn)
 	r.mu.Unlock()
 }
 
-func (r *Relay) add(relayed *connection) bool {
+// add registers a connection. It returns false if the relay is closed.
+func (r *Relay) add(conn *connection) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
 		return false
 	}
-	r.open[relayed] = struct{}{}
+	r.connections[conn] = struct{}{}
 	return true
 }
 
 func (c *connection) close() {
 	c.once.Do(func() {
 		close(c.done)
-		c.near.Close()
-		c.far.Close()
+		c.client.Close()
+		c.server.Close()
 	})
 }
--- a/standin/link/link_test.go
+++ b/standin/link/link_test.go
@@ -12,8 +12,8 @@
 	"slateway.example/slateway/standin/link"
 )
 
-// echo returns the address of a server that sends back what it gets.
-func echo(t *testing.T) string {
+// startEcho starts a server that sends back what it receives, and returns its address.
+func startEcho(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -42,7 +42,7 @@
 	return conn
 }
 
-// exchange sends a byte and waits for it so long; it says whether it came.
+// exchange sends a byte and reports whether the echo arrives within wait.
 func exchange(t *testing.T, conn net.Conn, wait time.Duration) bool {
 	t.Helper()
 	if _, err := conn.Write([]byte{7}); err != nil {
@@ -51,6 +51,7 @@
 	return receive(t, conn, wait)
 }
 
+// receive reports whether a byte arrives within wait.
 func receive(t *testing.T, conn net.Conn, wait time.Duration) bool {
 	t.Helper()
 	if err := conn.SetReadDeadline(time.Now().Add(wait)); err != nil {
@@ -64,8 +65,8 @@
 }
 
 const (
-	silence = 100 * time.Millisecond // long enough to see that nothing comes
-	patient = time.Minute
+	idleWait = 100 * time.Millisecond // long enough to detect that nothing arrives
+	maxWait  = time.Minute            // limit for what must arrive
 )
 
 func TestStalledBytesArriveOnceTheLinkHeals(t *testing.T) {
@@ -73,50 +74,51 @@
 		"forward": {StallForward: true}, "backward": {StallBackward: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			relay, err := link.Listen("127.0.0.1:0", echo(t), 1)
+			relay, err := link.Listen("127.0.0.1:0", startEcho(t), 1)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer relay.Close()
 			conn := dial(t, relay)
-			if !exchange(t, conn, patient) {
-				t.Fatal("an open link passed nothing")
+			if !exchange(t, conn, maxWait) {
+				t.Fatal("a link without faults forwarded nothing")
 			}
 			relay.Set(condition)
-			if exchange(t, conn, silence) {
-				t.Fatal("a stalled link passed a byte")
+			if exchange(t, conn, idleWait) {
+				t.Fatal("a stalled link forwarded a byte")
 			}
 			relay.Set(link.Condition{Delay: time.Millisecond})
-			if !receive(t, conn, patient) {
-				t.Fatal("the byte did not arrive after the link healed")
+			if !receive(t, conn, maxWait) {
+				t.Fatal("the byte did not arrive after the stall ended")
 			}
 		})
 	}
 }
 
 func TestSilencedConnectionStaysOpenAndNewOnesWork(t *testing.T) {
-	relay, err := link.Listen("127.0.0.1:0", echo(t), 1)
+	relay, err := link.Listen("127.0.0.1:0", startEcho(t), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer relay.Close()
 	old := dial(t, relay)
-	if !exchange(t, old, patient) {
-		t.Fatal("an open link passed nothing")
+	if !exchange(t, old, maxWait) {
+		t.Fatal("a link without faults forwarded nothing")
 	}
 	if count := relay.SilenceOpen(); count != 1 {
-		t.Fatalf("%d connections went silent, not 1", count)
+		t.Fatalf("%d connections were blackholed, want 1", count)
 	}
-	if exchange(t, old, silence) {
-		t.Fatal("a silent connection passed a byte")
+	if exchange(t, old, idleWait) {
+		t.Fatal("a blackholed connection forwarded a byte")
 	}
-	if !exchange(t, dial(t, relay), patient) {
-		t.Fatal("a new connection passed nothing")
+	if !exchange(t, dial(t, relay), maxWait) {
+		t.Fatal("a new connection forwarded nothing")
 	}
 }
 
-// An upstream resets a connection in the middle of an answer without a length. If
-// the caller saw an orderly end, it would take the half for the whole.
+// An upstream resets a connection in the middle of an answer without a length. If the
+// relay closed the caller's connection in an orderly way, the caller would take the
+// truncated answer for complete.
 func TestAResetIsPassedOnAsAReset(t *testing.T) {
 	target, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -129,7 +131,7 @@
 			return
 		}
 		_, _ = conn.Write([]byte("half"))
-		time.Sleep(50 * time.Millisecond) // a reset discards what has not been read
+		time.Sleep(50 * time.Millisecond) // a reset discards data that the relay has not read yet
 		_ = conn.(*net.TCPConn).SetLinger(0)
 		_ = conn.Close()
 	}()
@@ -145,6 +147,6 @@
 	defer conn.Close()
 	got, err := io.ReadAll(conn)
 	if string(got) != "half" || !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("read %q, %v", got, err)
+		t.Errorf("read %q and error %v, want \"half\" and a connection reset", got, err)
 	}
 }
--- a/standin/link/packets.go
+++ b/standin/link/packets.go
@@ -5,68 +5,70 @@
 	"sync"
 )
 
-// maxDatagram bounds a relayed datagram.
-const maxDatagram = 64 << 10
+// maxDatagramBytes is the size limit of a relayed datagram.
+const maxDatagramBytes = 64 << 10
 
-// Packets passes UDP datagrams on to a target, in one direction. Receivers must
-// answer to the address that a datagram names, not to where it came from.
+// Packets forwards UDP datagrams to a target, in one direction only. Receivers must
+// reply to the address in the datagram's content, as its source address is that of the
+// relay.
 type Packets struct {
 	socket *net.UDPConn
 	target *net.UDPAddr
-	// source names the sender of a datagram.
+	// source returns the name of the sender at an address.
 	source func(net.Addr) string
 
-	mu  sync.Mutex
-	cut map[string]bool // senders whose datagrams are dropped
+	mu      sync.Mutex
+	dropped map[string]bool // senders whose datagrams are dropped
 }
 
-// ListenPackets starts a relay on address, IP:port, to target. source names
-// the sender at an address, for Cut.
+// ListenPackets starts a relay that listens on address, IP:port, and forwards to
+// target. source returns the name of the sender at an address, which Cut takes.
 func ListenPackets(address, target string, source func(net.Addr) string) (*Packets, error) {
-	listening, err := net.ResolveUDPAddr("udp", address)
+	listenAddress, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return nil, err
 	}
-	to, err := net.ResolveUDPAddr("udp", target)
+	targetAddress, err := net.ResolveUDPAddr("udp", target)
 	if err != nil {
 		return nil, err
 	}
-	socket, err := net.ListenUDP("udp", listening)
+	socket, err := net.ListenUDP("udp", listenAddress)
 	if err != nil {
 		return nil, err
 	}
-	relay := &Packets{socket: socket, target: to, source: source, cut: make(map[string]bool)}
+	relay := &Packets{socket: socket, target: targetAddress, source: source, dropped: make(map[string]bool)}
 	go relay.run()
 	return relay, nil
 }
 
-// Cut drops the datagrams of a sender from now on, or passes them again.
+// Cut sets whether the datagrams of a sender are dropped.
 func (p *Packets) Cut(source string, cut bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cut[source] = cut
+	p.dropped[source] = cut
 }
 
-// Close ends the relay.
+// Close stops the relay.
 func (p *Packets) Close() error { return p.socket.Close() }
 
 func (p *Packets) run() {
-	buffer := make([]byte, maxDatagram)
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		size, from, err := p.socket.ReadFromUDP(buffer)
 		if err != nil {
-			return // closed: a UDP socket has no other lasting error
+			return // the socket is closed; a UDP socket has no other permanent error
 		}
-		if p.passes(from) {
-			// A target that does not listen is a lost datagram.
+		if p.allows(from) {
+			// If the target does not listen, the datagram is lost, as on a network.
 			_, _ = p.socket.WriteToUDP(buffer[:size], p.target)
 		}
 	}
 }
 
-func (p *Packets) passes(from net.Addr) bool {
+// allows reports whether datagrams from an address are forwarded.
+func (p *Packets) allows(from net.Addr) bool {
 	source := p.source(from)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.cut[source]
+	return !p.dropped[source]
 }
--- a/standin/link/pass.go
+++ b/standin/link/pass.go
@@ -7,70 +7,74 @@
 	"time"
 )
 
-// Sizes of what is on its way in one direction of a connection.
+// Limits of the data in flight in one direction of a connection.
 const (
-	chunkBytes  = 32 << 10
-	chunksOnWay = 64
+	maxChunkBytes     = 32 << 10
+	maxChunksInFlight = 64
 )
 
-// chunk is a piece of a stream on its way, due at the other end at a time.
+// chunk is a part of a stream in flight, to be delivered at the time due.
 type chunk struct {
 	data []byte
 	due  time.Time
 }
 
-// pass carries one direction of a connection until its source ends. The end is
-// passed on like data, so that it does not overtake them; a reset is passed on as a
-// reset, as an orderly end would make what came before it look whole.
-func (r *Relay) pass(relayed *connection, to, from net.Conn, stalled func(Condition) bool) {
-	onWay := make(chan chunk, chunksOnWay)
-	var ended error // of the source; read after onWay is closed
+// forward relays one direction of a connection until reading from src ends. It
+// propagates the end of the stream after all data. A reset is propagated as a reset,
+// because after an orderly close the receiver would take a truncated stream for
+// complete.
+func (r *Relay) forward(conn *connection, dst, src net.Conn, stalled func(Condition) bool) {
+	inFlight := make(chan chunk, maxChunksInFlight)
+	var readErr error // from reading src; read only after inFlight is closed
 	go func() {
-		defer close(onWay)
+		defer close(inFlight)
 		for {
-			buffer := make([]byte, chunkBytes)
-			n, err := from.Read(buffer)
-			if n > 0 && !relayed.queue(onWay, chunk{buffer[:n], r.due(relayed.source)}) {
+			buffer := make([]byte, maxChunkBytes)
+			n, err := src.Read(buffer)
+			if n > 0 && !conn.enqueue(inFlight, chunk{buffer[:n], r.deliveryTime(conn.source)}) {
 				return
 			}
 			if err != nil {
-				ended = err
+				readErr = err
 				return
 			}
 		}
 	}()
-	for next := range onWay {
-		if !relayed.sleep(time.Until(next.due)) || !r.waitOpen(relayed, stalled) {
+	for next := range inFlight {
+		if !conn.sleep(time.Until(next.due)) || !r.waitUnstalled(conn, stalled) {
 			return
 		}
-		if _, err := to.Write(next.data); err != nil {
-			relayed.close()
+		if _, err := dst.Write(next.data); err != nil {
+			conn.close()
 			return
 		}
 	}
-	if !r.waitOpen(relayed, stalled) {
+	if !r.waitUnstalled(conn, stalled) {
 		return
 	}
-	half, ok := to.(*net.TCPConn)
+	tcpConn, ok := dst.(*net.TCPConn)
 	switch {
 	case !ok:
-	case errors.Is(ended, syscall.ECONNRESET):
-		_ = half.SetLinger(0)
-		relayed.close()
+	case errors.Is(readErr, syscall.ECONNRESET):
+		_ = tcpConn.SetLinger(0) // makes close send a reset
+		conn.close()
 	default:
-		_ = half.CloseWrite()
+		_ = tcpConn.CloseWrite()
 	}
 }
 
-func (c *connection) queue(onWay chan<- chunk, next chunk) bool {
+// enqueue adds a chunk to those in flight. It returns false if the connection is
+// closed first.
+func (c *connection) enqueue(inFlight chan<- chunk, next chunk) bool {
 	select {
-	case onWay <- next:
+	case inFlight <- next:
 		return true
 	case <-c.done:
 		return false
 	}
 }
 
+// sleep waits for a duration. It returns false if the connection is closed first.
 func (c *connection) sleep(wait time.Duration) bool {
 	if wait <= 0 {
 		return true
@@ -85,8 +89,9 @@
 	}
 }
 
-// due draws when a chunk that was read now arrives.
-func (r *Relay) due(source string) time.Time {
+// deliveryTime returns when to deliver a chunk that was read now, after the delay and a
+// random loss.
+func (r *Relay) deliveryTime(source string) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	condition := r.conditionOf(source)
@@ -97,29 +102,29 @@
 	return arrival
 }
 
-// waitOpen returns true once the direction is not stalled, and false once the
-// connection has ended. A silent connection waits for its end.
-func (r *Relay) waitOpen(relayed *connection, stalled func(Condition) bool) bool {
+// waitUnstalled waits until the direction is not stalled. It returns false once the
+// connection is closed. A blackholed connection stays stalled until it is closed.
+func (r *Relay) waitUnstalled(conn *connection, stalled func(Condition) bool) bool {
 	for {
 		r.mu.Lock()
-		held := stalled(r.conditionOf(relayed.source))
+		isStalled := stalled(r.conditionOf(conn.source))
 		changed := r.changed
 		r.mu.Unlock()
 		select {
-		case <-relayed.silent:
-			<-relayed.done
+		case <-conn.blackholed:
+			<-conn.done
 			return false
-		case <-relayed.done:
+		case <-conn.done:
 			return false
 		default:
 		}
-		if !held {
+		if !isStalled {
 			return true
 		}
 		select {
 		case <-changed:
-		case <-relayed.silent:
-		case <-relayed.done:
+		case <-conn.blackholed:
+		case <-conn.done:
 			return false
 		}
 	}
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,6 +1,6 @@
-// Package service is a small stand-in for a plain service behind slateway. It
-// answers each call with what it received, and counts how often each call ran,
-// so that a test can tell whether one ran twice.
+// Package service simulates a plain service behind slateway for tests and experiments.
+// It answers each call with what it received and records every run, so that a test can
+// detect a call that ran twice.
 package service
 
 import (
@@ -12,59 +12,61 @@
 	"time"
 )
 
-// Paths that the stand-in keeps for itself; every other path is a call.
+// Paths for inspection and control. A request to any other path is a call.
 const (
 	LoadPath   = "/v1/load"
 	LogPath    = "/v1/log"
 	FreezePath = "/v1/freeze"
 )
 
-// Headers that a call's log entry keeps.
+// Headers that are recorded in the log entry of a call.
 const (
 	RequestIDHeader      = "Slateway-Request-Id"
 	IdempotencyKeyHeader = "Idempotency-Key"
 )
 
-// maxBody bounds a call's body.
+// maxBody is the size limit of a call's body in bytes.
 const maxBody = 8 << 20
 
 // Options set the size and behaviour of a Service.
 type Options struct {
 	Name    string
 	Replica string
-	// Incarnation is the start of the process in milliseconds since 1970.
+	// Incarnation is the start time of the process in Unix milliseconds.
 	Incarnation int64
-	Slots       int           // calls that run at the same time; others wait
-	Delay       time.Duration // time that a call takes
+	Slots       int           // calls that run at the same time; further calls wait
+	Delay       time.Duration // duration of a call
 
-	// CrashMarker in a call's body crashes the service as the call runs.
+	// CrashMarker is a text that crashes the service while it runs a call whose body
+	// contains it. Empty disables this.
 	CrashMarker string
-	// OnCrash is called then; if nil, all connections are dropped.
+	// OnCrash is called once when the service crashes; it may end the process. If nil,
+	// a crashed service drops all connections.
 	OnCrash func()
 
-	// Log receives one JSON line as each call starts to run. May be nil.
+	// Log receives a JSON line when a call starts to run. May be nil.
 	Log io.Writer
 }
 
-// Defaults give 16 slots and 5 ms a call.
+// Defaults returns options with 16 slots and a duration of 5 ms per call.
 func Defaults() Options {
 	return Options{Slots: 16, Delay: 5 * time.Millisecond, CrashMarker: "crash-upstream"}
 }
 
-// Call is a log entry, and the answer to the call.
+// Call is the log entry of a call and the body of its response.
 type Call struct {
 	Service        string    `json:"service"`
 	Replica        string    `json:"replica"`
-	Run            int64     `json:"run"` // number of the run at this replica, from 1
+	Run            int64     `json:"run"` // number of the run on this replica, counted from 1
 	Method         string    `json:"method"`
-	Path           string    `json:"path"` // with its query
+	Path           string    `json:"path"` // including the query
 	Body           string    `json:"body"`
 	RequestID      string    `json:"request_id,omitempty"`
 	IdempotencyKey string    `json:"idempotency_key,omitempty"`
 	Started        time.Time `json:"started"`
 }
 
-// Load is what GET /v1/load answers.
+// Load is the response body of GET /v1/load.
 type Load struct {
 	Running     int   `json:"running"`
 	Queued      int   `json:"queued"`
@@ -72,35 +74,35 @@
 	Incarnation int64 `json:"incarnation"`
 }
 
-// Service is an http.Handler.
+// Service is an http.Handler that simulates a plain service.
 type Service struct {
 	options Options
 	slots   chan struct{}
-	dead    chan struct{}
+	done    chan struct{} // closed by Crash
 
 	mu      sync.Mutex
 	crashed bool
 	frozen  bool
-	thawed  chan struct{} // closed while the service is not frozen
+	thawed  chan struct{} // open while the service is frozen, else closed
 	running int
 	queued  int
 	runs    int64
 	calls   []Call
 }
 
-// New makes a Service.
+// New returns a Service with the given options.
 func New(options Options) *Service {
 	service := &Service{
 		options: options,
 		slots:   make(chan struct{}, options.Slots),
-		dead:    make(chan struct{}),
+		done:    make(chan struct{}),
 		thawed:  make(chan struct{}),
 	}
 	close(service.thawed)
 	return service
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP serves a request. A frozen service answers only FreezePath.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == FreezePath {
 		s.serveFreeze(w, r)
@@ -122,46 +124,48 @@
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	s.acquire(r)
-	defer s.release()
+	s.acquireSlot(r)
+	defer s.releaseSlot()
 
-	call := s.start(r, body)
+	call := s.recordRun(r, body)
 	if s.options.CrashMarker != "" && bytes.Contains(body, []byte(s.options.CrashMarker)) {
 		s.Crash()
 	}
-	s.work(r)
+	s.simulateWork(r)
 	w.Header().Set(RequestIDHeader, call.RequestID)
 	writeJSON(w, http.StatusOK, call)
 }
 
-// acquire waits for a slot, or drops the call whose caller has gone.
-func (s *Service) acquire(r *http.Request) {
-	s.count(0, 1)
+// acquireSlot waits for a slot. It aborts the call if the caller disconnects or the
+// service crashes first.
+func (s *Service) acquireSlot(r *http.Request) {
+	s.adjustCounts(0, 1)
 	select {
 	case s.slots <- struct{}{}:
-		s.count(1, -1)
+		s.adjustCounts(1, -1)
 	case <-r.Context().Done():
-		s.count(0, -1)
+		s.adjustCounts(0, -1)
 		panic(http.ErrAbortHandler)
-	case <-s.dead:
+	case <-s.done:
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (s *Service) release() {
+func (s *Service) releaseSlot() {
 	<-s.slots
-	s.count(-1, 0)
+	s.adjustCounts(-1, 0)
 }
 
-func (s *Service) count(running, queued int) {
+// adjustCounts adds to the numbers of running and queued calls.
+func (s *Service) adjustCounts(running, queued int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running += running
 	s.queued += queued
 }
 
-// start numbers and logs a run.
-func (s *Service) start(r *http.Request, body []byte) Call {
+// recordRun assigns the next run number and logs the run.
+func (s *Service) recordRun(r *http.Request, body []byte) Call {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs++
@@ -183,38 +187,40 @@
 	return call
 }
 
-// work takes Delay. A call that started to run is finished, also when its
-// caller has gone: that is why such a call must not be repeated blindly.
-func (s *Service) work(r *http.Request) {
+// simulateWork takes as long as Delay. A call that has started to run completes even
+// if its caller disconnects, which is why a caller must not blindly repeat it.
+func (s *Service) simulateWork(r *http.Request) {
 	timer := time.NewTimer(s.options.Delay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-s.dead:
+	case <-s.done:
 		panic(http.ErrAbortHandler)
 	}
 	s.waitThawed(r)
 }
 
+// waitThawed waits until the service is not frozen. It aborts the request if the
+// service crashes or the caller disconnects first.
 func (s *Service) waitThawed(r *http.Request) {
 	s.mu.Lock()
 	thawed := s.thawed
 	s.mu.Unlock()
 	select {
-	case <-s.dead:
+	case <-s.done:
 		panic(http.ErrAbortHandler)
 	default:
 	}
 	select {
 	case <-thawed:
-	case <-s.dead:
+	case <-s.done:
 		panic(http.ErrAbortHandler)
 	case <-r.Context().Done():
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// Freeze stops all progress, as SIGSTOP would, until Freeze(false).
+// Freeze suspends the service, as SIGSTOP does, until Freeze(false) resumes it.
 func (s *Service) Freeze(frozen bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -229,13 +235,13 @@
 	}
 }
 
-// Crash drops all connections, now and later.
+// Crash simulates a crash of the process: it drops all open and future connections.
 func (s *Service) Crash() {
 	s.mu.Lock()
 	first := !s.crashed
 	if first {
 		s.crashed = true
-		close(s.dead)
+		close(s.done)
 	}
 	s.mu.Unlock()
 	if first && s.options.OnCrash != nil {
@@ -243,27 +249,27 @@
 	}
 }
 
-// Alive says whether the service answers: it has not crashed and is not frozen.
+// Alive reports whether the service has not crashed and is not frozen.
 func (s *Service) Alive() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.crashed && !s.frozen
 }
 
-// Busy gives the number of calls that run or wait.
-func (s *Service) Busy() int {
+// ActiveRequests returns the number of running and waiting calls.
+func (s *Service) ActiveRequests() int {
 	load := s.Load()
 	return load.Running + load.Queued
 }
 
-// Load gives the load now.
+// Load returns the current load.
 func (s *Service) Load() Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Load{Running: s.running, Queued: s.queued, Slots: s.options.Slots, Incarnation: s.options.Incarnation}
 }
 
-// Calls gives every run so far.
+// Calls returns the log entries of all runs so far.
 func (s *Service) Calls() []Call {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -29,10 +29,10 @@
 		t.Fatal(err)
 	}
 	if call.Service != "plates" || call.Run != 1 || call.Path != "/confirm?plate=7" || call.Body != "seven" {
-		t.Fatalf("unexpected answer %+v", call)
+		t.Fatalf("unexpected response %+v", call)
 	}
 
-	ctx, hangUp := context.WithCancel(context.Background())
+	ctx, disconnect := context.WithCancel(context.Background())
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, server.URL+"/confirm", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -45,24 +45,24 @@
 		}
 	}()
 	waitFor(t, func() bool { return len(instance.Calls()) == 2 })
-	hangUp()
+	disconnect()
 	<-gone
-	waitFor(t, func() bool { return instance.Busy() == 0 })
+	waitFor(t, func() bool { return instance.ActiveRequests() == 0 })
 
 	if _, err := http.Post(server.URL+"/confirm", "text/plain", strings.NewReader("crash-upstream")); err == nil {
 		t.Fatal("a crashed service answered")
 	}
 	if instance.Alive() || len(instance.Calls()) != 3 {
-		t.Fatalf("alive %v after the crash, calls %+v", instance.Alive(), instance.Calls())
+		t.Fatalf("after the crash: alive %v, want false; calls %+v, want 3", instance.Alive(), instance.Calls())
 	}
 }
 
-// waitFor waits until a condition holds that must come to hold.
-func waitFor(t *testing.T, holds func() bool) {
+// waitFor waits until condition returns true, and fails the test after a minute.
+func waitFor(t *testing.T, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(time.Minute); !holds(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(time.Minute); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the condition did not come to hold")
+			t.Fatal("the condition was not met within a minute")
 		}
 	}
 }
