--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -20,7 +20,7 @@
 
 func TestEngine(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "engine stand-in")
+	RunSpecs(t, "simulated engine")
 }
 
 // neverElapses is a token interval that no test waits for.
--- a/standin/engine/options.go
+++ b/standin/engine/options.go
@@ -40,8 +40,8 @@
 	CanResume     bool
 	CanCancel     bool
 
-	// CrashMarker is a text that crashes the engine if a request contains it, at the
-	// time of the request's first token. Empty disables this.
+	// CrashMarker is a text that crashes the engine: a request that contains it does so
+	// when its first token is due. Empty disables this.
 	CrashMarker string
 	// OnCrash is called once when the engine crashes; it may end the process. If nil,
 	// a crashed engine drops all connections.
--- a/standin/engine/request.go
+++ b/standin/engine/request.go
@@ -41,7 +41,8 @@
 	triggersCrash bool
 }
 
-// completionBody holds the fields used of OpenAI chat and text completion requests.
+// completionBody holds the fields of OpenAI chat and text completion requests that the
+// engine uses.
 type completionBody struct {
 	Model               string          `json:"model"`
 	Messages            []message       `json:"messages"`
@@ -159,8 +160,8 @@
 	})
 }
 
-// decodeJSON decodes the request body into target. On failure it sends an error response
-// and returns false.
+// decodeJSON decodes the request body into target. On failure it sends an error
+// response and returns false.
 func decodeJSON(w http.ResponseWriter, r *http.Request, target any) bool {
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(target); err != nil {
 		writeError(w, http.StatusBadRequest, "invalid_json", err.Error())
--- a/standin/engine/runlog.go
+++ b/standin/engine/runlog.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// maxLoggedRuns is the number of runs that are kept in memory. The counters include
-// later runs too.
+// maxLoggedRuns is the number of runs that are kept in memory. The counters also
+// include later runs.
 const maxLoggedRuns = 200_000
 
 // maxLoggedPrompt is the number of leading bytes of a prompt that a log entry keeps.
