--- a/cmd/experiment/fault.go
+++ b/cmd/experiment/fault.go
@@ -40,8 +40,8 @@
 	}},
 	{"lossy-link", lossyLink},
 	{"silent-connections", func(_ context.Context, s *site) error {
-		s.engines[0].Near.SilenceOpen()
-		s.engines[0].Far.SilenceOpen()
+		s.engines[0].Near.BlackholeOpen()
+		s.engines[0].Far.BlackholeOpen()
 		return nil
 	}},
 	{"poison", poison},
--- a/standin/link/dark.go
+++ b/standin/link/dark.go
@@ -9,7 +9,7 @@
 
 // Blackhole is a loopback address that neither accepts nor refuses connections, like
 // the address of a VM that has lost power.
-type Dark struct {
+type Blackhole struct {
 	Address string // IP:port
 
 	socket      int        // a listening socket that never accepts
@@ -22,12 +22,12 @@
 
 // NewBlackhole returns a blackhole address, implemented as a listener whose accept
 // queue is full. Close releases it.
-func NewDark() (*Dark, error) {
+func NewBlackhole() (*Blackhole, error) {
 	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		return nil, err
 	}
-	d := &Dark{socket: socket}
+	d := &Blackhole{socket: socket}
 	if err := d.fillQueue(); err != nil {
 		d.Close()
 		return nil, err
@@ -36,7 +36,7 @@
 }
 
 // fillQueue listens on a free port and connects until the accept queue is full.
-func (d *Dark) fillQueue() error {
+func (d *Blackhole) fillQueue() error {
 	if err := syscall.Bind(d.socket, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		return err
 	}
@@ -58,7 +58,7 @@
 }
 
 // Close releases the address.
-func (d *Dark) Close() {
+func (d *Blackhole) Close() {
 	for _, connection := range d.connections {
 		_ = connection.Close()
 	}
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -121,7 +121,7 @@
 // BlackholeOpen makes the relay stop forwarding on the connections that are open now,
 // permanently and without closing them. New connections are not affected. It returns
 // the number of connections that it changed.
-func (r *Relay) SilenceOpen() int {
+func (r *Relay) BlackholeOpen() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	count := 0
--- a/standin/link/link_test.go
+++ b/standin/link/link_test.go
@@ -105,7 +105,7 @@
 	if !exchange(t, old, maxWait) {
 		t.Fatal("a link without faults forwarded nothing")
 	}
-	if count := relay.SilenceOpen(); count != 1 {
+	if count := relay.BlackholeOpen(); count != 1 {
 		t.Fatalf("%d connections were blackholed, want 1", count)
 	}
 	if exchange(t, old, idleWait) {
