--- a/internal/gate/access.go
+++ b/internal/gate/access.go
@@ -33,12 +33,11 @@
 	return &Access{watcher: watcher, serveStale: serveStale, now: time.Now}
 }
 
-// Authenticate returns the policy of the team that owns a bearer token.
-//
-// It refuses all requests once the configuration lease has expired, unless the site
-// chose to keep serving by the last revision. A change is acknowledged to operators
-// only after the leases of unreachable gates have expired, so that no gate serves by
-// a replaced revision.
+// Authenticate returns the policy of the team that owns a bearer token. It refuses all
+// requests once the configuration lease has expired, unless the site chose to keep
+// serving by the last revision. A change is acknowledged to operators only after the
+// leases of unreachable gates have expired, so that no gate serves by a replaced
+// revision.
 func (a *Access) Authenticate(token string) (*team.Policy, error) {
 	if err := a.ready(); err != nil {
 		return nil, err
--- a/internal/gate/batch/fence.go
+++ b/internal/gate/batch/fence.go
@@ -20,12 +20,11 @@
 	fenceChecks = 30
 )
 
-// fence tracks whether the gate may still run the items that it has leased. Without
-// it, a gate that cannot reach the keepers, or was frozen, would go on sending items
-// to upstreams after the keepers have ended its session, leased its items to other
-// gates and acknowledged the end of jobs. The fence measures from the sending of the
-// last successful renewal and the keepers from a later time, so that it expires
-// before they end the session.
+// fence tracks whether the gate may still run its leased items. Without it, a gate that
+// was frozen or cannot reach the keepers would send items to upstreams after the keepers
+// have leased them to other gates or acknowledged the end of their jobs. It expires
+// before the keepers end the session: it measures from the sending of the last
+// successful renewal, the keepers from a later time.
 type fence struct {
 	lifetime time.Duration // of a session; zero: the fence never expires
 
--- a/internal/gate/claims.go
+++ b/internal/gate/claims.go
@@ -169,7 +169,7 @@
 	return r.ResponseWriter.Write(data)
 }
 
-// Unwrap gives http.ResponseController access to the connection.
+// Unwrap returns the wrapped writer, so that http.ResponseController reaches the connection.
 func (r *recorder) Unwrap() http.ResponseWriter { return r.ResponseWriter }
 
 // streamEnd is the last event of a complete SSE answer.
--- a/internal/gate/patience.go
+++ b/internal/gate/patience.go
@@ -42,8 +42,9 @@
 
 func newWaitEstimator() *waitEstimator { return &waitEstimator{routes: make(map[string]*routeWaits)} }
 
-// timeWaited returns how long a caller whose remaining timeout is left has been trying,
-// and adds left to the route's samples. timeout is the timeout of the route.
+// timeWaited returns how long a caller has been trying, estimated from left, its
+// remaining timeout, and adds left to the route's samples. timeout is the timeout of
+// the route.
 func (w *waitEstimator) timeWaited(route string, left, timeout time.Duration) time.Duration {
 	if left <= 0 {
 		return 0
--- a/internal/gate/proxy/form.go
+++ b/internal/gate/proxy/form.go
@@ -95,7 +95,7 @@
 // Resumable reports whether another replica may continue the answer.
 func (f *httpProtocol) Resumable() bool { return f.engine && f.isSingleText() }
 
-// resumeField tells an engine where to continue a stream.
+// resumeField is the field from which an engine learns where to continue a stream.
 type resumeField struct {
 	ResumeFrom int    `json:"resume_from"`
 	Prefix     string `json:"prefix"`
--- a/internal/gate/proxy/router.go
+++ b/internal/gate/proxy/router.go
@@ -230,7 +230,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.routing.BatchRoom(policy)
+	return s.routing.BatchCapacity(policy)
 }
 
 // BatchTarget returns the number of batch items of the service that this gate
--- a/internal/gate/proxy/shard.go
+++ b/internal/gate/proxy/shard.go
@@ -92,9 +92,9 @@
 	return true
 }
 
-// execute runs the outputs in order. Outputs after a Spread wait until the other
-// gates have the crash records, so that neither the next attempt nor the caller's
-// next request overtakes them.
+// execute runs the outputs in order. Outputs after ReportCrashes wait until the
+// crash records are sent to the other gates, for at most BroadcastTimeout, so
+// that neither the next attempt nor the caller's next request overtakes them.
 func (s *shard) execute(outputs []route.Output) {
 	defer s.notifyUpdate()
 	ready := closedChannel
--- a/internal/gate/proxy/usage.go
+++ b/internal/gate/proxy/usage.go
@@ -9,8 +9,8 @@
 	"slateway.example/slateway/internal/upstream"
 )
 
-// LoadReport tells the owner gate of a replica how many requests another gate runs
-// on it.
+// LoadReport reports to the owner gate of a replica how many requests another gate
+// runs on it.
 type LoadReport struct {
 	Service string             `json:"service"`
 	Gate    string             `json:"gate"` // the reporting gate
--- a/internal/job/lease.go
+++ b/internal/job/lease.go
@@ -62,12 +62,11 @@
 	return now.Add(m.Sub(l.LeasedAt))
 }
 
-// endLostLease ends the lease of an item whose gate is lost.
-//
-// The gate may have run the item without reporting it. A non-idempotent item
-// therefore ends as unknown. Any other item is leased again. The attempt counts,
-// because an item that crashes its gate would otherwise be retried forever; with
-// CountOnlyAnswered it does not, and the item is retried until its give-up time.
+// endLostLease ends the lease of an item whose gate is lost. The gate may have run it
+// without reporting it, so a non-idempotent item ends as unknown. Any other item is
+// leased again. The attempt counts, because an item that crashes its gate would be
+// retried forever; with CountOnlyAnswered it does not count, and the item is retried
+// until its give-up time.
 func (t *Table) endLostLease(job *entry, item uint32, now instant.Micros) {
 	attempt := job.leases[item].Attempt
 	t.dropLease(job, item)
--- a/internal/limit/ledger.go
+++ b/internal/limit/ledger.go
@@ -112,8 +112,8 @@
 }
 
 // roundRandomly rounds down to a whole credit; below 1 it returns 1 with the probability
-// given by the fraction. So the initial credit of many gates that know only a few others
-// adds up to the expected total.
+// given by the fraction. The initial credits of many gates that each know only a few others
+// then add up to the expected total.
 func (l *Ledger) roundRandomly(credit float64) float64 {
 	floor, part := math.Modf(credit)
 	if credit < 1 && l.random.Float64() < part {
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -71,12 +71,10 @@
 	Changed                  // gates must receive a change
 )
 
-// Announce applies a valid announcement that was made age ago.
-//
-// Announcements arrive by several paths and out of order, and may come from a process that
-// has ended and whose address another process uses now. Announcements of one replica are
-// ordered by incarnation, then by sequence. Of two replicas with the same address, the one
-// with the higher incarnation holds it.
+// Announce applies a valid announcement that was made age ago. Announcements arrive by
+// several paths and out of order, and may come from an ended process whose address
+// another process uses now. Those of one replica are ordered by incarnation, then by
+// sequence; of two replicas with the same address, the higher incarnation holds it.
 func (t *Table) Announce(now time.Time, a upstream.Announcement, age time.Duration) Verdict {
 	if t.heldByLaterProcess(&a) {
 		return Stale
--- a/internal/route/admission.go
+++ b/internal/route/admission.go
@@ -91,7 +91,7 @@
 	if wait := team.bucket.spend(s.now, req.Limits.Rate, req.Limits.Burst); wait > 0 {
 		return apierr.New(apierr.Overloaded, ReasonTeamRate,
 			"send more slowly, or ask the operator for a higher rate",
-			"team %s is over its rate of %g requests a second", req.Team, req.Limits.Rate).
+			"team %s exceeds its cap of %g requests per second", req.Team, req.Limits.Rate).
 			WithRetryAfter(clampRetry(wait))
 	}
 	return nil
@@ -101,13 +101,13 @@
 	waiting := s.onlineQueue.len()
 	if waiting >= s.config.MaxQueue {
 		return apierr.New(apierr.Overloaded, ReasonQueueFull,
-			"retry after the given time", "%d requests wait at this gate, its limit", waiting).
+			"retry after the given delay", "%d requests wait at this gate, its limit", waiting).
 			WithRetryAfter(s.retryAfter(waiting))
 	}
 	wait := s.estimateWait(waiting)
 	if waiting > 0 && s.now.Add(wait).After(req.Deadline) {
 		return apierr.New(apierr.Overloaded, ReasonWaitTooLong,
-			"retry after the given time, or send the request with a later deadline",
+			"retry after the given delay, or send the request with a later deadline",
 			"the queue of %d requests takes about %s, longer than the deadline allows", waiting, wait.Round(time.Millisecond)).
 			WithRetryAfter(s.retryAfter(waiting))
 	}
--- a/internal/route/batch.go
+++ b/internal/route/batch.go
@@ -31,12 +31,10 @@
 // Ownership may change briefly while gates join and leave.
 const unassignedLimit = time.Second
 
-// returnUnassigned returns waiting batch items that this gate cannot start, so that
-// another gate can lease them.
-//
-// A starting gate assumes that it owns every replica until it has received the list of
-// gates, and leases items for all of them; a joining gate takes over replicas from a
-// gate that holds items for them. Such items would wait here forever, and their job
+// returnUnassigned returns waiting batch items that this gate cannot start, so that another
+// gate can lease them. A starting gate assumes that it owns every replica until it receives
+// the list of gates, and leases items for all of them; a joining gate takes over replicas
+// from a gate that holds items for them. Such items would wait here forever, and their job
 // would not finish although every replica is idle.
 func (s *Shard) returnUnassigned() {
 	if s.config.Disabled.Unfed {
@@ -63,11 +61,9 @@
 	return nil
 }
 
-// freeBatchSlots returns the slots of an owned replica that batch work under the policy
-// may take now.
-//
-// Engines admit requests in order of arrival, so a batch request in an engine's queue
-// would delay every online request behind it. Batch work therefore goes only to free
+// freeBatchSlots returns the slots of an owned replica that batch work under the policy may
+// take now. Engines admit requests in order of arrival, so a batch request in an engine's
+// queue would delay every online request behind it. Batch work therefore goes only to free
 // slots, counting all requests that may be on their way to the replica.
 func (s *Shard) freeBatchSlots(r *replica, policy Policy) int {
 	if s.now.Before(r.holdUntil) || s.now.Before(r.fullUntil) {
@@ -77,8 +73,8 @@
 	return slots - policy.headroomSlots(slots) - s.totalLoad(r)
 }
 
-// BatchRoom returns the number of batch items that could start now.
-func (s *Shard) BatchRoom(policy Policy) int {
+// BatchCapacity returns the number of batch items that could start now under the policy.
+func (s *Shard) BatchCapacity(policy Policy) int {
 	if s.draining {
 		return 0
 	}
--- a/internal/route/config.go
+++ b/internal/route/config.go
@@ -44,7 +44,8 @@
 	Disabled Guards // for tests that show the failure that each guard prevents
 }
 
-// Guards disables individual protections in tests.
+// Guards disables individual protections in tests. The cases in testdata refer to the
+// fields by name.
 type Guards struct {
 	Leaving, Probe, Silence, Poison, Holder, Trial, Copies, Preempt, Yield, Feeder, Budget, Retry, Settle, Unfed, LateShare bool
 }
--- a/internal/route/copies.go
+++ b/internal/route/copies.go
@@ -81,12 +81,10 @@
 	}
 }
 
-// replicaOfCopy returns the replica on which a copy of the request already runs and
-// which the request must therefore use, or nil if it may use any.
-//
-// A caller that sends a harmful request many times at once could otherwise crash as
-// many replicas before the first crash is noticed. Once one copy has completed, the
-// others may run anywhere.
+// replicaOfCopy returns the replica on which a copy of the request already runs and which
+// the request must therefore use, or nil if it may use any. Without it, a caller that sends
+// a harmful request many times at once could crash as many replicas before the first crash
+// is noticed. Once one copy has completed, the others may run anywhere.
 func (s *Shard) replicaOfCopy(req *request) *replica {
 	c := s.copies[req.Fingerprint]
 	if c == nil || c.running == 0 || s.config.Disabled.Copies || s.now.Sub(c.completedAt) < completionLifetime {
--- a/internal/route/dial.go
+++ b/internal/route/dial.go
@@ -2,16 +2,11 @@
 
 import "time"
 
-// DialLimits computes how long a gate waits for a connection to a replica.
-//
-// When a replica loses power or its link, every request sent there would wait for the
-// maximum dial time, several times what its caller accepts. A connection normally takes
-// one round trip, so one that takes much longer than nearly all others will not
-// succeed. Giving it up early leaves the request unsent, and it can still be answered
-// elsewhere in time. The same limit detects a lost SYN packet.
-//
-// The limit of an address doubles with each consecutive missed connection, so that it
-// adapts to a link that has become slow. DialLimits is not safe for concurrent use.
+// DialLimits computes how long a gate waits for a connection to a replica. If the replica
+// lost power or its link, or a SYN was lost, a request would wait for the maximum dial
+// time, several times what its caller accepts. A connection normally takes one round trip;
+// one that takes much longer than nearly all others is given up, so that the unsent request
+// can be answered elsewhere in time. DialLimits is not safe for concurrent use.
 type DialLimits struct {
 	longest     time.Duration
 	connectTime delayMeter
@@ -34,7 +29,8 @@
 	return &DialLimits{longest: most, missed: make(map[string]int)}
 }
 
-// Limit returns how long to wait for a connection to the address.
+// Limit returns how long to wait for a connection to the address. It doubles with each
+// consecutive missed connection, to adapt to a link that has become slow.
 func (l *DialLimits) Limit(address string) time.Duration {
 	if l.connectTime.mean == 0 {
 		return l.longest
--- a/internal/route/failure.go
+++ b/internal/route/failure.go
@@ -134,7 +134,7 @@
 	}
 	if !s.budget.spend(0) && !s.config.Disabled.Budget {
 		return apierr.New(apierr.Unavailable, ReasonRetryBudget,
-			"retry after the given time; many requests are failing",
+			"retry after the given delay; many requests are failing",
 			"an attempt failed with cause %s and the retry budget is spent", cause).
 			WithRan(req.ran()).WithRetryAfter(time.Second)
 	}
--- a/internal/route/handover.go
+++ b/internal/route/handover.go
@@ -2,13 +2,10 @@
 
 import "slices"
 
-// handOver moves a stalled answer that may not run again: its engine stops the run and
-// keeps its memory, and the run continues over another connection.
-//
-// As with resumable answers, a packet between replica and gate was lost and the stream
-// stalls until TCP retransmits it. Sending the request again would run it twice. The
-// engine instead copies the memory to another replica, and the answer continues there,
-// or on the same replica if the copy failed.
+// handOver moves a stalled answer that may not run again. Its stream stalls until TCP
+// retransmits a lost packet, and sending the request again would run it twice. The engine
+// therefore stops the run, keeps its memory and copies it to another replica, where the
+// answer continues over another connection, or on the same replica if the copy failed.
 func (s *Shard) handOver(a *attempt) {
 	to := s.chooseHandoverTarget(a)
 	if to == nil || !s.budget.spend(hedgeReserve*s.config.RetryReserve*startShare) {
--- a/internal/route/late.go
+++ b/internal/route/late.go
@@ -3,14 +3,11 @@
 // overdueShare limits overdue requests to one in this many slots.
 const overdueShare = 2
 
-// mayStartOverdue reports whether this gate may run another request that is past its
-// target.
-//
-// After an outage of all gates, thousands of callers return at once, all overdue, and
-// restarted gates do not yet know of each other's requests. Together they would fill
-// all slots, and new callers, who could still be answered in time, would wait behind
-// them. Each gate therefore limits overdue requests to its share of a part of the
-// slots. An answer that has missed its target loses little by waiting longer.
+// mayStartOverdue reports whether this gate may run another overdue request. After an
+// outage of all gates, thousands of overdue callers return at once, and restarted gates do
+// not yet know of each other's requests. Each gate limits them to its share of a part of
+// the slots, because they would fill all slots ahead of new callers, who can still be
+// answered in time. An overdue answer loses little by waiting longer.
 func (s *Shard) mayStartOverdue() bool {
 	return s.config.Disabled.LateShare || s.countOverdueRunning() < s.maxOverdueRunning()
 }
--- a/internal/route/messages.go
+++ b/internal/route/messages.go
@@ -238,8 +238,8 @@
 		// of owners that were asked for a slot.
 		Queued                         time.Duration
 		AheadInQueue, ReservationTries int
-		// Memory names the kept memory that the engine resumes from; empty: run the
-		// request as received.
+		// Memory is the name of the kept memory that the engine resumes from; empty:
+		// run the request as received.
 		Memory string
 	}
 	// HandOver asks the replica of a running attempt to stop the run, keep its memory
--- a/internal/route/pick.go
+++ b/internal/route/pick.go
@@ -6,12 +6,10 @@
 // draws fail only when most replicas do not fit the request.
 const sampleTries = 6
 
-// pick returns the replica for an online attempt, or nil if none has room.
-//
-// In order of preference: the replica preferred by the prompt's prefix if its load is
-// near that of the sampled one, the less loaded of two samples from the gate's own
-// place, and a replica of another place if the own place is loaded and the other
-// replica clearly less so.
+// pick returns the replica for an online attempt, or nil if none has room. In order of
+// preference: the replica preferred by the prompt's prefix if its load is near that of the
+// sampled one, the less loaded of two samples from the gate's own place, and a replica of
+// another place if the own place is loaded and the other replica clearly less so.
 func (s *Shard) pick(req *request) *replica {
 	s.rebuild()
 	chosen := s.sampleTwo(req, s.local)
--- a/internal/route/place.go
+++ b/internal/route/place.go
@@ -56,12 +56,10 @@
 	return !fresh || s.onlineLoad(r) > int(lightLoad*float64(s.slots(r)))
 }
 
-// mayReserveOnFull reports whether the replica's owner may be asked for a slot although
-// the replica seems to be full.
-//
-// Owner reports on a replica arrive only after this gate changes its own load there. A
-// gate that considers all replicas full changes nothing, and its callers would keep
-// waiting while slots are free.
+// mayReserveOnFull reports whether the replica's owner may be asked for a slot although the
+// replica seems to be full. Owner reports on a replica arrive only after this gate changes
+// its own load there. A gate that considers all replicas full changes nothing, and its
+// callers would keep waiting while slots are free.
 func (s *Shard) mayReserveOnFull(req *request, r *replica) bool {
 	if !s.needsReservation(req, r) || s.now.Before(r.fullUntil) {
 		return false
--- a/internal/route/poison.go
+++ b/internal/route/poison.go
@@ -13,12 +13,10 @@
 // request crashes replicas.
 const suspectRetryAfter = time.Second
 
-// checkStanding returns an error for requests that have crashed replicas.
-//
-// A request that crashes every replica that runs it would take down the fleet one
-// replica at a time if it were sent repeatedly. After the first crash only one gate may
-// try it, on one replica at a time; after the second it is refused permanently, before
-// it reaches any replica.
+// checkStanding returns an error for requests that have crashed replicas. A request that
+// crashes every replica that runs it would take down the fleet one replica at a time if it
+// were sent repeatedly. After the first crash only one gate may try it, on one replica at a
+// time; after the second it is refused permanently, before it reaches any replica.
 func (s *Shard) checkStanding(req *request) *apierr.Error {
 	if s.config.Disabled.Poison || req.RetryUntilAnswered {
 		return nil
@@ -54,7 +52,7 @@
 		return nil
 	}
 	return apierr.New(apierr.Unavailable, ReasonSuspect,
-		"retry after the given time, when it is known whether the request is harmful",
+		"retry after the given delay, when it is known whether the request is harmful",
 		"a replica died while it ran this request; only gate %s may try it again", holder).
 		WithRan(req.ran()).WithRetryAfter(suspectRetryAfter)
 }
@@ -121,12 +119,11 @@
 	return !s.config.Disabled.Poison && s.crashes.Status(s.now, req.Fingerprint) != upstream.StatusClear
 }
 
-// hasTrial reports whether another suspect request is on trial on the replica.
-//
-// When a replica dies, all requests on it become suspects. If two of them met on the
-// next replica that dies, the harmless one would be condemned with the other. Each
-// suspect is therefore tried on a separate replica until it is past the token at which
-// its first replica died.
+// hasTrial reports whether another suspect request is on trial on the replica. When a
+// replica dies, all requests on it become suspects. If two of them met on the next replica
+// that dies, the harmless one would be refused for good with the other. Each suspect is
+// therefore tried on a separate replica until it is past the token at which its first
+// replica died.
 func (s *Shard) hasTrial(r *replica) bool {
 	if s.config.Disabled.Trial {
 		return false
@@ -188,8 +185,8 @@
 	s.startWaiting()
 }
 
-// applyCrashes applies new crash records to the current requests: condemned requests
-// are refused, and of a suspect request only the oldest attempt continues.
+// applyCrashes applies new crash records to the current requests: those with too many
+// crashes are refused, and of a suspect request only the oldest attempt continues.
 func (s *Shard) applyCrashes(added []upstream.CrashRecord) {
 	if s.config.Disabled.Poison {
 		return
--- a/internal/route/queue.go
+++ b/internal/route/queue.go
@@ -6,14 +6,11 @@
 	"time"
 )
 
-// waitQueue holds requests without an attempt in the order in which they start: first
-// those with a partially delivered answer, then those that can still meet their target,
-// then the overdue ones; within each group by priority, then by due time.
-//
-// With a queue ordered only by deadline, an outage of one second would also make the
-// callers of the following seconds miss their targets, because they would wait behind
-// requests that already have. Overdue requests lose little by waiting longer, and a
-// share of the starts (overdueTurn) keeps them from starving under sustained load.
+// waitQueue holds requests without an attempt in order of start: those with a partly
+// delivered answer, those that can still meet their target, then overdue ones; in each
+// group by priority, then due time. In order of deadline alone, callers after an outage of
+// one second would miss their targets behind requests that already have. Those lose little
+// by waiting longer, and overdueTurn keeps them from starving under sustained load.
 type waitQueue struct {
 	list []*request // in order of compareUrgency
 	// startsSinceOverdue counts the starts since the last one of an overdue request.
--- a/internal/route/quiet.go
+++ b/internal/route/quiet.go
@@ -18,13 +18,11 @@
 	minIdleStreams = 2
 )
 
-// probeIfAllIdle probes a replica when all attempts of this gate on it are idle.
-//
-// It detects a replica that has lost power. No error arrives in that case: its streams
-// stall until their token timeout, when their callers have left, and new requests are
-// sent there until a connection attempt fails. When its streams stall together, a probe
-// finds this within the time of a connection, and the streams resume elsewhere before
-// their callers notice a pause.
+// probeIfAllIdle probes a replica when all attempts of this gate on it are idle, to detect
+// a loss of power. No error arrives then: streams stall until their token timeout, when
+// their callers have left, and new requests are sent there until a connection attempt
+// fails. The probe detects it within the time of a connection, and the streams resume
+// elsewhere before their callers notice a pause.
 func (s *Shard) probeIfAllIdle(r *replica) {
 	if s.config.StallMin <= 0 || r.health == suspect || r.probing || s.now.Before(r.probeAt) {
 		return
@@ -93,13 +91,11 @@
 // first answer is tried over another connection.
 const reconnectShare = 0.5
 
-// reconnectTimeout returns how long a request that may be repeated waits for its first
-// answer over one connection.
-//
-// A device between gate and replica may have lost the state of the pooled connections.
-// Each request that takes one of them would wait until its caller leaves, and so would
-// the next, until the pool is used up. Half of the caller's time suffices for another
-// attempt, and the first one that fails drops the pool.
+// reconnectTimeout returns how long a repeatable request waits for its first answer over
+// one connection. A device between gate and replica may have lost the state of the pooled
+// connections, and each request on one would wait until its caller leaves, until the pool
+// is used up. Half of the caller's time suffices for another attempt, and the first one
+// that fails drops the pool.
 func (s *Shard) reconnectTimeout(a *attempt, otherwise time.Duration) time.Duration {
 	req := a.req
 	if req.Class != Online || !req.Repeatable || req.tried >= s.maxAttempts(req) {
--- a/internal/route/rebalance.go
+++ b/internal/route/rebalance.go
@@ -20,13 +20,10 @@
 	rebalanceReportAge = 2 * time.Second
 )
 
-// returnForRebalance returns waiting batch items while replicas of other gates have
-// free slots.
-//
-// A gate leases items for the slots that it has. When online work takes these slots, or
-// the replicas leave, the items would wait here and miss their targets while other
-// gates have idle slots and nothing to run. The keepers lease returned items to a gate
-// that has room.
+// returnForRebalance returns waiting batch items while replicas of other gates have free
+// slots; the keepers lease them to a gate that has room. When online work takes the slots
+// for which a gate leased items, or the replicas leave, the items would otherwise wait here
+// and miss their targets while other gates have idle slots and nothing to run.
 func (s *Shard) returnForRebalance() {
 	if s.draining || s.batchQueue.len() == 0 {
 		return
--- a/internal/route/replica.go
+++ b/internal/route/replica.go
@@ -85,13 +85,11 @@
 	return max(1, int(share*float64(r.entry.Slots)))
 }
 
-// othersLoad estimates the requests that other gates have on the replica.
-//
-// Each gate reports its load on a replica to the owner as soon as it changes, and the
-// owner reports the sum to the others. The replica's own announcements lag, and only
-// reveal work that no gate has reported. If gates relied on announcements, batch work
-// would take slots that another gate's request is about to use, and a burst would
-// concentrate on the replica that was idle half a second ago.
+// othersLoad estimates the requests that other gates have on the replica. Each gate reports
+// its load there to the owner at each change, and the owner reports the sum to the others.
+// The replica's announcements lag and reveal only work that no gate has reported: by them
+// alone, batch work would take slots that another gate's request is about to use, and a
+// burst would concentrate on the replica that was idle half a second ago.
 func (s *Shard) othersLoad(r *replica) (online, batch int) {
 	switch {
 	case s.ownsReplica(r):
--- a/internal/route/spare.go
+++ b/internal/route/spare.go
@@ -1,16 +1,14 @@
 package route
 
-// reservedShare is the share of a replica's slots that batch items with time to spare
+// reservedShare is the share of a replica's slots that batch items with slack (hasSlack)
 // leave free when they start: one in eight, but at least one slot.
 const reservedShare = 0.125
 
-// reservedSlots returns the slots beyond the policy's headroom in which an item does
-// not start now.
-//
-// Without reserved slots, online requests that arrive one by one on replicas full of
-// batch work would each preempt an item that has just started. Its connection would end
-// and its prompt would be processed again, while the request waits for the slot. An
-// item that is short of time takes every free slot.
+// reservedSlots returns the slots beyond the policy's headroom in which an item does not
+// start now. Without them, online requests that arrive one by one on replicas full of batch
+// work would each preempt an item that has just started: its connection would end, its
+// prompt be processed again, and the request would wait for the slot. An item that is short
+// of time takes every free slot.
 func (s *Shard) reservedSlots(req *request, r *replica) int {
 	if !s.hasSlack(req) {
 		return 0
--- a/internal/route/stall.go
+++ b/internal/route/stall.go
@@ -15,14 +15,11 @@
 // a stall.
 const stallFactor = 1.5
 
-// checkStalls resumes answers whose connection has stalled.
-//
-// When a packet between replica and gate is lost, TCP retransmits it only after its
-// timeout, and until then every later event of the answer waits in the kernel; a caller
-// who reads the stream sees the text stop. The replica still answers others. Over
-// another connection to it the answer continues at the next event, with the prompt
-// still cached there. A stall is longer than nearly all normal pauses, so that few
-// answers are resumed unnecessarily.
+// checkStalls resumes answers whose connection has stalled. After a packet loss, later
+// events wait in the kernel until TCP's retransmission timeout and the caller's text stops,
+// while the replica still answers others. Over another connection to it the answer
+// continues at the next event, with the prompt still cached. A stall is longer than nearly
+// all normal pauses, so that few answers are resumed unnecessarily.
 func (s *Shard) checkStalls(r *replica) {
 	if s.config.StallMin <= 0 || len(r.attempts) == 0 || !s.acceptsWork(r) {
 		return
--- a/internal/route/tick.go
+++ b/internal/route/tick.go
@@ -171,7 +171,7 @@
 			continue
 		}
 		s.refuse(req, apierr.New(apierr.Overloaded, ReasonWaitTooLong,
-			"retry after the given time, or send the request with a later deadline",
+			"retry after the given delay, or send the request with a later deadline",
 			"the queue of %d requests takes about %s, longer than the deadline allows", s.onlineQueue.len(), wait.Round(time.Millisecond)).
 			WithRan(req.ran()).WithRetryAfter(s.retryAfter(before)))
 	}
@@ -192,7 +192,7 @@
 
 func noReadyError(req *request) *apierr.Error {
 	return apierr.New(apierr.Unavailable, ReasonNoReadyUpstream,
-		"retry after the given time; `slatectl upstream list` shows what the replicas report",
+		"retry after the given delay; `slatectl upstream list` shows what the replicas report",
 		"no replica with model %q can take work now", req.Model).
 		WithRan(req.ran()).WithRetryAfter(time.Second)
 }
--- a/internal/routes/pack.go
+++ b/internal/routes/pack.go
@@ -2,13 +2,11 @@
 
 import "slateway.example/slateway/internal/codec"
 
-// Packed is an encoded and compressed document, as it is stored in the log and
-// sent to gates.
-//
-// The thousand routes of a large document are very similar, so it compresses well.
-// It is sent to each member of the group and each gate. If it were encoded again for
-// each of them, a few consecutive versions would occupy a small VM for longer than a
-// version may take to be in force everywhere.
+// Packed is an encoded and compressed document, as it is stored in the log and sent to each
+// member of the group and each gate. The thousand routes of a large document are very
+// similar, so it compresses well. If it were encoded again for each recipient, a few
+// consecutive versions would occupy a small VM for longer than a version may take to be in
+// force everywhere.
 type Packed []byte
 
 // maxUnpacked limits the size of the encoded document, like the calls that send one.
--- a/internal/team/update.go
+++ b/internal/team/update.go
@@ -84,13 +84,11 @@
 // Revision returns the current revision of the view.
 func (v *View) Revision() uint64 { return v.revision }
 
-// Apply applies an update and reports whether the view's revision changed.
-//
-// Answers of two keepers can arrive out of order, and the later one can come from a
-// leader that was partitioned. Applying them in order of arrival could revert an
-// accepted change on this gate. Apply therefore ignores an update to a revision that
-// is not later, and a delta that is not the next one; the next poll requests them
-// again.
+// Apply applies an update and reports whether the view's revision changed. It ignores an
+// update to a revision that is not later, and a delta that is not the next one; the next
+// poll requests them again. Answers of two keepers can arrive out of order, the later one
+// even from a partitioned leader: applied in order of arrival, they could revert an
+// accepted change on this gate.
 func (v *View) Apply(update Update) bool {
 	if update.Revision <= v.revision {
 		return false
--- a/internal/upstream/strikes.go
+++ b/internal/upstream/strikes.go
@@ -155,13 +155,11 @@
 	return !record.Cleared && now.Sub(record.At) <= s.lifetime
 }
 
-// RetryGate returns the only gate that may retry a suspect fingerprint: the
-// first, by name, of the live gates that reported a crash with it. It returns ""
-// when none of them is live; the caller then chooses by a hash over the live
-// gates.
-//
-// Otherwise a client that resends through several gates would crash a replica
-// for each gate that has not yet received the second crash record.
+// RetryGate returns the only gate that may retry a suspect fingerprint: the first, by name,
+// of the live gates that reported a crash with it. It returns "" when none is live; the
+// caller then chooses by a hash over the live gates. With several retry gates, a client
+// that resends through them would crash a replica for each gate that has not yet received
+// the second crash record.
 func (s *CrashRecords) RetryGate(now time.Time, fingerprint Fingerprint, isLive func(gate string) bool) string {
 	first := ""
 	for _, record := range s.byFingerprint[fingerprint] {
