--- a/internal/gate/batch/runner.go
+++ b/internal/gate/batch/runner.go
@@ -20,7 +20,7 @@
 
 // Session is the gate's session with the keepers.
 type Session interface {
-	Lease(ctx context.Context, wants []job.QueueDemand, wait time.Duration) ([]keeperapi.LeasedItem, error)
+	Lease(ctx context.Context, demands []job.QueueDemand, wait time.Duration) ([]keeperapi.LeasedItem, error)
 	Heartbeat(ctx context.Context, running []job.ID) (ended []job.ID, err error)
 	Complete(ctx context.Context, results []job.Result) error
 	Close(ctx context.Context) error
@@ -162,12 +162,12 @@
 
 func (r *Runner) leaseLoop(ctx, background context.Context, service string) {
 	for ctx.Err() == nil {
-		wants := r.wants(service)
-		if len(wants) == 0 || !r.leaseValid() {
+		demands := r.demands(service)
+		if len(demands) == 0 || !r.leaseValid() {
 			r.awaitCapacity(ctx, service)
 			continue
 		}
-		items, err := r.lease(ctx, wants)
+		items, err := r.lease(ctx, demands)
 		if err != nil && ctx.Err() == nil {
 			r.options.Log.Warn("leasing of batch items failed, will retry", zap.String("service", service), zap.Error(err))
 			sleep(ctx, leaseRetryDelay)
@@ -196,28 +196,28 @@
 	}
 }
 
-func (r *Runner) lease(ctx context.Context, wants []job.QueueDemand) ([]keeperapi.LeasedItem, error) {
+func (r *Runner) lease(ctx context.Context, demands []job.QueueDemand) ([]keeperapi.LeasedItem, error) {
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
-	return r.options.Session.Lease(ctx, wants, leaseWait)
+	return r.options.Session.Lease(ctx, demands, leaseWait)
 }
 
-// wants returns how many items of each queue of the service to lease: those that
+// demands returns how many items of each queue of the service to lease: those that
 // could start now and a few more, so that a freed slot need not wait for the
 // keepers.
-func (r *Runner) wants(service string) []job.QueueDemand {
+func (r *Runner) demands(service string) []job.QueueDemand {
 	target := r.options.Router.BatchTarget(service, route.ThroughputPolicy())
-	holds := r.heldCount(service)
-	count := min(target-holds, r.options.LeaseItems)
+	held := r.heldCount(service)
+	count := min(target-held, r.options.LeaseItems)
 	if count <= 0 {
 		return nil
 	}
 	queues := r.queues(service)
-	wants := make([]job.QueueDemand, len(queues))
+	demands := make([]job.QueueDemand, len(queues))
 	for i, queue := range queues {
-		wants[i] = job.QueueDemand{Queue: queue, Max: count, Held: holds}
+		demands[i] = job.QueueDemand{Queue: queue, Max: count, Held: held}
 	}
-	return wants
+	return demands
 }
 
 // queues returns the queues whose items the service's replicas can run.
--- a/internal/gate/batch/runner_test.go
+++ b/internal/gate/batch/runner_test.go
@@ -34,9 +34,9 @@
 	closed       bool
 }
 
-func (k *keepers) Lease(ctx context.Context, wants []job.QueueDemand, wait time.Duration) ([]keeperapi.LeasedItem, error) {
+func (k *keepers) Lease(ctx context.Context, demands []job.QueueDemand, wait time.Duration) ([]keeperapi.LeasedItem, error) {
 	k.mu.Lock()
-	count := min(wants[0].Max, len(k.items))
+	count := min(demands[0].Max, len(k.items))
 	items := k.items[:count]
 	k.items = k.items[count:]
 	k.mu.Unlock()
--- a/internal/gate/exchange/calls.go
+++ b/internal/gate/exchange/calls.go
@@ -16,14 +16,14 @@
 // maxCallBytes bounds the size of a call between gates.
 const maxCallBytes = 1 << 20
 
-// UsageRequest reports to the gate To what another gate runs on replicas that To owns.
-type UsageRequest struct {
-	To     string             `cbor:"1,keyasint"`
-	Usages []proxy.LoadReport `cbor:"2,keyasint"`
+// LoadReportsRequest carries load reports to the gate To, which owns their replicas.
+type LoadReportsRequest struct {
+	To      string             `cbor:"1,keyasint"`
+	Reports []proxy.LoadReport `cbor:"2,keyasint"`
 }
 
-// UsageResponse returns the batch work that still runs on each replica.
-type UsageResponse struct {
+// LoadReportsResponse acknowledges load reports with the load of each replica.
+type LoadReportsResponse struct {
 	Batch []upstream.OwnerLoad `cbor:"1,keyasint"`
 }
 
@@ -39,31 +39,32 @@
 type CrashReportsResponse struct{}
 
 const (
-	usageProcedure        rpc.Procedure[UsageRequest, UsageResponse]               = "/slateway.gate/Usage"
+	loadReportsProcedure  rpc.Procedure[LoadReportsRequest, LoadReportsResponse]   = "/slateway.gate/Usage"
 	crashReportsProcedure rpc.Procedure[CrashReportsRequest, CrashReportsResponse] = "/slateway.gate/Strikes"
 )
 
 // Mount registers the procedures that other gates call on mux.
 func (e *Exchange) Mount(mux *http.ServeMux) {
-	rpc.Handle(mux, usageProcedure, maxCallBytes, e.serveUsage)
+	rpc.Handle(mux, loadReportsProcedure, maxCallBytes, e.serveLoadReports)
 	rpc.Handle(mux, crashReportsProcedure, maxCallBytes, e.serveCrashReports)
 }
 
-// SendUsage sends usages to the gate that owns the replicas.
-func (e *Exchange) SendUsage(ctx context.Context, gate string, usages []proxy.LoadReport) ([]upstream.OwnerLoad, error) {
+// SendLoadReports sends load reports to the gate that owns the replicas and returns its
+// acknowledgements.
+func (e *Exchange) SendUsage(ctx context.Context, gate string, reports []proxy.LoadReport) ([]upstream.OwnerLoad, error) {
 	address, known := e.addressOf(gate)
 	if !known {
 		return nil, fmt.Errorf("no peers address known for gate %s; it is neither a member of this place nor a contact of another", gate)
 	}
-	response, err := rpc.Call(ctx, e.options.Client, address, usageProcedure, &UsageRequest{To: gate, Usages: usages})
+	response, err := rpc.Call(ctx, e.options.Client, address, loadReportsProcedure, &LoadReportsRequest{To: gate, Reports: reports})
 	if err != nil {
 		return nil, err
 	}
 	return response.Batch, nil
 }
 
-func (e *Exchange) serveUsage(_ context.Context, request *UsageRequest) (*UsageResponse, error) {
-	return &UsageResponse{Batch: e.router.ApplyLoadReports(request.Usages)}, nil
+func (e *Exchange) serveLoadReports(_ context.Context, request *LoadReportsRequest) (*LoadReportsResponse, error) {
+	return &LoadReportsResponse{Batch: e.router.ApplyLoadReports(request.Reports)}, nil
 }
 
 // SpreadCrashReports sends crash reports to the gates of the own place and to one gate of
--- a/internal/gate/exchange/exchange.go
+++ b/internal/gate/exchange/exchange.go
@@ -213,7 +213,7 @@
 }
 
 // updateGates passes the live gates to the router: those of the own place, and the contacts
-// of other places, which relay usages.
+// of other places, to which load reports can be sent too.
 func (e *Exchange) updateGates() {
 	gates := []route.Gate{{ID: e.options.VM, Place: e.options.Place}}
 	for _, m := range e.options.Fleet.Members() {
--- a/internal/gate/exchange/rows.go
+++ b/internal/gate/exchange/rows.go
@@ -11,9 +11,9 @@
 // identities with hash List, in the order of that list. A row of numbers takes about 8
 // bytes; with the replica's name and field names it would take 84.
 type loadDigest struct {
-	List       uint64    `cbor:"1,keyasint"`
-	Rows       []loadRow `cbor:"2,keyasint,omitempty"`
-	OwnedBatch []fedRow  `cbor:"3,keyasint,omitempty"`
+	List       uint64          `cbor:"1,keyasint"`
+	Rows       []loadRow       `cbor:"2,keyasint,omitempty"`
+	OwnedBatch []ownedBatchRow `cbor:"3,keyasint,omitempty"`
 }
 
 type loadRow struct {
@@ -30,10 +30,10 @@
 	flagLeaving uint8 = 2
 )
 
-// fedRow is the batch work that the sending gate runs on a replica that it owns. Service
-// and replica are identified by short hashes. If two of a place's few hundred replicas
-// collide in both, the other gates only misjudge the batch work on one of them.
-type fedRow struct {
+// ownedBatchRow is the batch work that the sending gate runs on a replica that it owns.
+// Service and replica are identified by short hashes. If two of a place's few hundred
+// replicas collide in both, the other gates only misjudge the batch work on one of them.
+type ownedBatchRow struct {
 	_       struct{} `cbor:",toarray"`
 	Service uint32
 	Replica uint32
@@ -75,11 +75,11 @@
 }
 
 // ownedBatchRows returns the batch work of this gate for all services.
-func ownedBatchRows(known []upstream.Digest) []fedRow {
-	var rows []fedRow
+func ownedBatchRows(known []upstream.Digest) []ownedBatchRow {
+	var rows []ownedBatchRow
 	for _, digest := range known {
 		for _, f := range digest.OwnerLoads {
-			rows = append(rows, fedRow{Service: shortHash(digest.Service), Replica: shortHash(string(f.Replica)), Batch: f.Batch})
+			rows = append(rows, ownedBatchRow{Service: shortHash(digest.Service), Replica: shortHash(string(f.Replica)), Batch: f.Batch})
 		}
 	}
 	return rows
@@ -135,7 +135,7 @@
 }
 
 // applyOwnedBatch resolves the rows to replicas and updates their batch work.
-func (e *Exchange) applyOwnedBatch(rows []fedRow) {
+func (e *Exchange) applyOwnedBatch(rows []ownedBatchRow) {
 	if len(rows) == 0 {
 		return
 	}
--- a/internal/gate/proxy/attempt.go
+++ b/internal/gate/proxy/attempt.go
@@ -68,7 +68,7 @@
 	request.Header.Set("Content-Type", "application/json")
 	response, err := a.transports().pool(a.target.Replica).RoundTrip(request)
 	if err == nil {
-		a.flight.shard.router.options.Metrics.Observe(MetricYield, time.Since(start))
+		a.flight.shard.router.options.Metrics.Observe(MetricCancel, time.Since(start))
 		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxProbeBytes))
 		_ = response.Body.Close()
 	}
--- a/internal/gate/proxy/form.go
+++ b/internal/gate/proxy/form.go
@@ -95,7 +95,7 @@
 // Resumable reports whether another replica may continue the answer.
 func (f *httpProtocol) Resumable() bool { return f.engine && f.isSingleText() }
 
-// resumeField is the field from which an engine learns where to continue a stream.
+// resumeField asks an engine to continue a stream after the given number of tokens.
 type resumeField struct {
 	ResumeFrom int    `json:"resume_from"`
 	Prefix     string `json:"prefix"`
--- a/internal/gate/proxy/online.go
+++ b/internal/gate/proxy/online.go
@@ -165,7 +165,7 @@
 			return // removing the flight stops its attempts
 		case <-deadline.C:
 			// The flight is removed first, so that no attempt starts after the caller
-			// has been told that the request did not run.
+			// has received that the request did not run.
 			d.flight.shard.remove(d.flight)
 			d.flight.finish(deadlinePassed(d.flight.wasAttempted()))
 			d.metrics.Count(string(route.ReasonDeadline))
--- a/internal/gate/proxy/options.go
+++ b/internal/gate/proxy/options.go
@@ -45,7 +45,7 @@
 	MetricFirstToken = "online_first_token" // arrival of the request to the first byte of its answer
 	MetricAnswer     = "online_answer"      // arrival of the request to its last byte
 	MetricBatchItem  = "batch_item"         // start of a batch item to its result
-	MetricYield      = "batch_yield"        // request to cancel an attempt to the engine's confirmation
+	MetricCancel     = "batch_yield"        // request to cancel an attempt to the engine's confirmation
 )
 
 // Names of counters, in addition to the reasons of package route.
--- a/internal/gate/proxy/usage.go
+++ b/internal/gate/proxy/usage.go
@@ -26,21 +26,21 @@
 // acknowledges the reports, in their order, with the load left on each replica.
 func (r *Router) ApplyLoadReports(reports []LoadReport) []upstream.OwnerLoad {
 	acknowledged := make([]upstream.OwnerLoad, 0, len(reports))
-	for _, u := range reports {
-		acknowledged = append(acknowledged, r.applyLoadReport(u))
+	for _, report := range reports {
+		acknowledged = append(acknowledged, r.applyLoadReport(report))
 	}
 	return acknowledged
 }
 
-func (r *Router) applyLoadReport(u LoadReport) upstream.OwnerLoad {
-	s := r.findShard(u.Service)
+func (r *Router) applyLoadReport(report LoadReport) upstream.OwnerLoad {
+	s := r.findShard(report.Service)
 	if s == nil {
-		return upstream.OwnerLoad{Replica: u.Replica}
+		return upstream.OwnerLoad{Replica: report.Replica}
 	}
-	s.step(route.LoadReported{Gate: u.Gate, Replica: u.Replica, Online: u.Online, Batch: u.Batch})
+	s.step(route.LoadReported{Gate: report.Gate, Replica: report.Replica, Online: report.Online, Batch: report.Batch})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.routing.OwnerLoad(u.Replica)
+	return s.routing.OwnerLoad(report.Replica)
 }
 
 // SendReports sends load reports to another gate's Router.ApplyLoadReports and
@@ -72,7 +72,7 @@
 }
 
 // enqueue queues a report without blocking.
-func (s *reportSender) enqueue(gate string, u LoadReport) {
+func (s *reportSender) enqueue(gate string, report LoadReport) {
 	if s.send == nil {
 		return
 	}
@@ -83,21 +83,21 @@
 		q = &reportQueue{}
 		s.gates[gate] = q
 	}
-	q.enqueue(u)
+	q.enqueue(report)
 	if !q.sending {
 		q.sending = true
 		go s.run(gate, q)
 	}
 }
 
-func (q *reportQueue) enqueue(u LoadReport) {
+func (q *reportQueue) enqueue(report LoadReport) {
 	for i := range q.pending {
-		if q.pending[i].Service == u.Service && q.pending[i].Replica == u.Replica {
-			q.pending[i] = u
+		if q.pending[i].Service == report.Service && q.pending[i].Replica == report.Replica {
+			q.pending[i] = report
 			return
 		}
 	}
-	q.pending = append(q.pending, u)
+	q.pending = append(q.pending, report)
 }
 
 func (s *reportSender) run(gate string, q *reportQueue) {
@@ -121,7 +121,7 @@
 	if err != nil || len(acknowledged) != len(reports) {
 		return // the next change or refresh sends the load again
 	}
-	for i, u := range reports {
-		s.acknowledge(u, acknowledged[i])
+	for i, report := range reports {
+		s.acknowledge(report, acknowledged[i])
 	}
 }
--- a/internal/gate/proxy/weigh_test.go
+++ b/internal/gate/proxy/weigh_test.go
@@ -94,7 +94,7 @@
 }
 
 func (f *fleet) Observe(name string, d time.Duration) {
-	if name != proxy.MetricYield {
+	if name != proxy.MetricCancel {
 		return
 	}
 	f.mu.Lock()
--- a/internal/gate/routed_test.go
+++ b/internal/gate/routed_test.go
@@ -77,7 +77,7 @@
 }
 
 // Guards against requests that wait for long while no control VM can be reached. The
-// caller must soon be told to use another gate and when to retry.
+// caller must soon get an error that refers it to another gate and has a retry time.
 func TestRequestsDoNotWaitForRoutesForLong(t *testing.T) {
 	front, metrics := newRouted(newSource())
 	began := time.Now()
--- a/internal/job/property_test.go
+++ b/internal/job/property_test.go
@@ -18,7 +18,7 @@
 // -rapid.seed=0 -rapid.checks=20000.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// memoryStorage is an in-memoryStorage Storage.
+// memoryStorage is a Storage in memory.
 type memoryStorage struct {
 	parts, results [][]byte
 }
--- a/internal/route/poison.go
+++ b/internal/route/poison.go
@@ -25,7 +25,7 @@
 	case upstream.StatusRefused:
 		return s.poisonError(req)
 	case upstream.StatusSuspect:
-		return s.checkHolder(req)
+		return s.checkRetryGate(req)
 	default:
 		return nil
 	}
@@ -38,22 +38,22 @@
 		"replicas died while they ran this request: %s", fmt.Sprint(crashed)).WithRan(req.ran())
 }
 
-func (s *Shard) checkHolder(req *request) *apierr.Error {
+func (s *Shard) checkRetryGate(req *request) *apierr.Error {
 	if s.config.Disabled.Holder {
 		return nil
 	}
 	able := func(gate string) bool { return s.isLiveGate(gate) && s.mayStartAt(gate, req) }
-	holder := s.crashes.RetryGate(s.now, req.Fingerprint, able)
-	if holder == "" {
+	retryGate := s.crashes.RetryGate(s.now, req.Fingerprint, able)
+	if retryGate == "" {
 		gates := slices.DeleteFunc(slices.Clone(s.gates), func(g Gate) bool { return !able(g.ID) })
-		holder = bestGate(gates, "", fmt.Sprint(uint64(req.Fingerprint)))
+		retryGate = bestGate(gates, "", fmt.Sprint(uint64(req.Fingerprint)))
 	}
-	if holder == "" || holder == s.config.Self {
+	if retryGate == "" || retryGate == s.config.Self {
 		return nil
 	}
 	return apierr.New(apierr.Unavailable, ReasonSuspect,
 		"retry after the given delay, when it is known whether the request is harmful",
-		"a replica died while it ran this request; only gate %s may try it again", holder).
+		"a replica died while it ran this request; only gate %s may try it again", retryGate).
 		WithRan(req.ran()).WithRetryAfter(suspectRetryAfter)
 }
 
--- a/internal/team/change.go
+++ b/internal/team/change.go
@@ -82,7 +82,7 @@
 	Name string `cbor:"2,keyasint"`
 }
 
-// target returns the key of the target that the change edits; ok is false unless
+// target returns the key of the object that the change edits; ok is false unless
 // exactly one operation is set.
 func (c *Change) target() (key objectKey, ok bool) {
 	count := 0
