--- a/internal/team/registry.go
+++ b/internal/team/registry.go
@@ -190,7 +190,7 @@
 	}
 	for _, token := range team.Tokens {
 		if owner, taken := r.tokens[token]; taken && owner != team.Name {
-			return apierr.New(apierr.Conflict, ReasonTokenTaken, "create a new token", "a token of team %q belongs to another team", team.Name)
+			return apierr.New(apierr.Conflict, ReasonTokenTaken, "make a new token", "a token of team %q belongs to another team", team.Name)
 		}
 	}
 	return nil
