--- a/internal/gate/follow/first_test.go
+++ b/internal/gate/follow/first_test.go
@@ -49,7 +49,7 @@
 	for range 4 { // asked one at a time in random order, it would be first in 1 of 3 runs
 		var seeds []string
 		for range 2 {
-			dark, err := link.NewDark()
+			dark, err := link.NewBlackhole()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -83,7 +83,7 @@
 func TestAGateFollowsAControlVMThatCallsIt(t *testing.T) {
 	var seeds []string
 	for range 3 {
-		dark, err := link.NewDark()
+		dark, err := link.NewBlackhole()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/gate/proxy/dial_test.go
+++ b/internal/gate/proxy/dial_test.go
@@ -27,7 +27,7 @@
 		unpowered := newFakeEngine("r2", 3, 0)
 		DeferCleanup(unpowered.server.Close)
 		announcement := unpowered.announcement()
-		address, err := link.NewDark()
+		address, err := link.NewBlackhole()
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(address.Close)
 		announcement.Address = address.Address
