--- a/internal/gate/exchange/calls.go
+++ b/internal/gate/exchange/calls.go
@@ -51,7 +51,7 @@
 
 // SendLoadReports sends load reports to the gate that owns the replicas and returns its
 // acknowledgements.
-func (e *Exchange) SendUsage(ctx context.Context, gate string, reports []proxy.LoadReport) ([]upstream.OwnerLoad, error) {
+func (e *Exchange) SendLoadReports(ctx context.Context, gate string, reports []proxy.LoadReport) ([]upstream.OwnerLoad, error) {
 	address, known := e.addressOf(gate)
 	if !known {
 		return nil, fmt.Errorf("no peers address known for gate %s; it is neither a member of this place nor a contact of another", gate)
