--- a/cmd/capacity/announce.go
+++ b/cmd/capacity/announce.go
@@ -14,11 +14,12 @@
 	"slateway.example/slateway/internal/telemetry"
 )
 
-// announcementsMeasured go over one connection, as an upstream's do.
+// announcementsMeasured is the number of announcements sent over one connection, as
+// an upstream sends them.
 const announcementsMeasured = 1000
 
-// measureAnnouncement gives what one announcement costs a gate: the upstream's
-// JSON and the HTTP headers of both ways, over a kept connection.
+// measureAnnouncement measures the bytes of one announcement at a gate: the
+// upstream's JSON and the HTTP headers of both directions, on a reused connection.
 func measureAnnouncement(ctx context.Context, _ *cli.Command) error {
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -30,7 +31,7 @@
 		w.Header().Set("Content-Type", "application/json")
 		_, _ = io.WriteString(w, `{"interval_ms":1000}`)
 	})}
-	go func() { _ = server.Serve(metrics.CountListener("announce", socket)) }() // ends with Close
+	go func() { _ = server.Serve(metrics.CountListener("announce", socket)) }() // returns on Close
 	defer func() { _ = server.Close() }()
 	body, err := json.Marshal(replicaRecord(1))
 	if err != nil {
@@ -57,7 +58,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // read to its end
+	defer func() { _ = response.Body.Close() }() // the body was read to its end
 	_, err = io.Copy(io.Discard, response.Body)
 	return err
 }
--- a/cmd/capacity/fit.go
+++ b/cmd/capacity/fit.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// series is one measured quantity at several sizes.
+// series holds the values of one measured quantity at several sizes.
 type series struct {
 	name   string
 	sizes  []float64
@@ -83,19 +83,19 @@
 	}
 }
 
-// processorTime gives the time that this process has spent so far.
+// processorTime returns the user and system CPU time that this process has used.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
-		panic(err) // the arguments are constant
+		panic(err) // cannot fail: the arguments are constant
 	}
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// heapBytes gives the live heap after a full collection.
+// heapBytes returns the size of the live heap after a full collection.
 func heapBytes() float64 {
 	runtime.GC()
-	runtime.GC() // the first may leave objects to finalizers
+	runtime.GC() // frees objects that the first collection left to finalizers
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return float64(stats.HeapAlloc)
--- a/cmd/capacity/members.go
+++ b/cmd/capacity/members.go
@@ -8,11 +8,11 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Sizes of a load row: as the exchange of gates encodes it, with the replica's
-// name and the names of its fields, and as numbers that refer to a list.
+// Bytes of a load row: as the exchange between gates encodes it, with the replica's
+// name and the field names, and as numbers that refer to a list of replicas.
 const (
-	namedRow  = 90
-	numberRow = 8
+	namedRowBytes   = 90
+	numericRowBytes = 8
 )
 
 var placeSizes = []int{5, 10, 19, 50, 100, 200}
@@ -21,7 +21,7 @@
 	for _, row := range []struct {
 		name  string
 		bytes int
-	}{{"no loads", 0}, {"rows of numbers", numberRow}, {"rows with names", namedRow}} {
+	}{{"no loads", 0}, {"rows of numbers", numericRowBytes}, {"rows with names", namedRowBytes}} {
 		fmt.Printf("\n### One place, %s\n\n", row.name)
 		if err := placeTable(row.bytes); err != nil {
 			return err
@@ -74,21 +74,21 @@
 const (
 	regions        = 6
 	places         = 22
-	replicasListed = 12  // replicas that a place names to others
-	identityBytes  = 284 // of one replica, by the subcommand replicas
-	plannedPerSite = 19
+	replicasListed = 12  // replicas that a place publishes to other places
+	identityBytes  = 284 // per replica, measured by the subcommand replicas
+	vmsPerPlace    = 19
 )
 
 func measureFleet(context.Context, *cli.Command) error {
 	fmt.Printf("\n### %d regions, %d places, all loads as rows of numbers\n\n", regions, places)
 	mean := &series{name: "mean B/s in+out"}
-	most := &series{name: "highest B/s in+out"}
+	highest := &series{name: "highest B/s in+out"}
 	processor := &series{name: "us of processor/s"}
 	memory := &series{name: "KB of heap"}
-	for _, perPlace := range []int{2, 5, 10, plannedPerSite} {
+	for _, perPlace := range []int{2, 5, 10, vmsPerPlace} {
 		heap := heapBytes()
 		w := newNetwork()
-		w.rowBytes = numberRow
+		w.rowBytes = numericRowBytes
 		w.listBytes = replicasListed * identityBytes
 		for place := range places {
 			for i := range perPlace {
@@ -99,18 +99,18 @@
 		if err != nil {
 			return err
 		}
-		highest := 0.0
+		maximum := 0.0
 		for _, t := range all {
-			highest = max(highest, t.in+t.out)
+			maximum = max(maximum, t.in+t.out)
 		}
 		average := averageOf(all)
 		size := perPlace * places
 		mean.add(size, average.in+average.out)
-		most.add(size, highest)
+		highest.add(size, maximum)
 		processor.add(size, spent*1e6)
 		memory.add(size, (heapBytes()-heap)/float64(size)/1024)
 		runtime.KeepAlive(w)
 	}
-	printTable("VMs", []*series{mean, most, processor, memory})
+	printTable("VMs", []*series{mean, highest, processor, memory})
 	return nil
 }
--- a/cmd/capacity/network.go
+++ b/cmd/capacity/network.go
@@ -8,25 +8,25 @@
 	"slateway.example/slateway/internal/member"
 )
 
-// Costs of a datagram beside its data: IP and UDP headers.
+// datagramHeader is the size of the IP and UDP headers of a datagram.
 const datagramHeader = 28
 
-// Steps of virtual time.
+// Durations of virtual time.
 const (
 	tick   = 100 * time.Millisecond
 	warmUp = 30 * time.Second
 	window = 40 * time.Second
 )
 
-// A load digest at the planned size: 13 replicas announce to a gate, and one row
-// of a load takes rowBytes.
+// Contents of a load digest at the planned fleet size: 13 replicas announce to each
+// gate, and a load row takes network.rowBytes.
 const (
 	replicasPerGate = 13
 	loadKind        = member.FirstVolatile
 	listKind        = member.FirstNear
 )
 
-// node is one VM with its traffic.
+// node is one VM and its traffic counters.
 type node struct {
 	name     string
 	place    string
@@ -39,19 +39,20 @@
 	packets  int
 }
 
-// network delivers packets at once and loses none.
+// network simulates the network between nodes. It delivers packets without delay and
+// loses only those that cut selects.
 type network struct {
 	now   time.Time
 	nodes map[string]*node
 	order []*node
 	ticks int
-	queue []flight
+	queue []packetInTransit
 	cut   func(from, to *node) bool // nil: no packet is lost
 	// rowBytes is the size of a replica's row in the load digest that each VM
-	// spreads a second; zero spreads none.
+	// publishes every second; zero disables load digests.
 	rowBytes int
-	// listBytes is the size of the list of replicas that each place gives the
-	// others; its loads change each second, the list does not.
+	// listBytes is the size of the list of replicas that each place publishes to
+	// the others. The replicas' loads change every second, the list does not.
 	listBytes int
 }
 
@@ -67,23 +68,23 @@
 		Operators: fmt.Sprintf("10.%d.%d.%d:8081", len(w.order)/65536, len(w.order)/256%256, len(w.order)%256),
 	}
 	random := rand.New(rand.NewPCG(1, uint64(len(w.order))))
-	config := member.Config{Seeds: seeds, BytesPerSecond: 1 << 20} // the cost unbounded is what is asked
+	config := member.Config{Seeds: seeds, BytesPerSecond: 1 << 20} // high enough that the limit does not distort the measured cost
 	n := &node{name: vm.Name, place: place, region: region, address: vm.Peers, member: member.New(config, vm, uint64(w.now.UnixMilli()), random, w.now)}
-	w.take(n, n.member.SetReady(w.now))
+	w.send(n, n.member.SetReady(w.now))
 	w.nodes[n.address] = n
 	w.order = append(w.order, n)
 }
 
-func (w *network) take(from *node, output member.Output) {
+func (w *network) send(from *node, output member.Output) {
 	for _, packet := range output.Packets {
 		from.bytesOut += len(packet.Data) + datagramHeader
 		from.packets++
-		w.queue = append(w.queue, flight{from, packet})
+		w.queue = append(w.queue, packetInTransit{from, packet})
 	}
 }
 
-// flight is a packet on its way.
-type flight struct {
+// packetInTransit is a packet that has been sent and not yet delivered.
+type packetInTransit struct {
 	from   *node
 	packet member.Packet
 }
@@ -101,7 +102,7 @@
 		if err != nil {
 			return err
 		}
-		w.take(to, output)
+		w.send(to, output)
 	}
 	return nil
 }
@@ -114,8 +115,8 @@
 			if n.stopped {
 				continue
 			}
-			w.take(n, n.member.Tick(w.now))
-			// VMs spread their loads at different moments of the second.
+			w.send(n, n.member.Tick(w.now))
+			// Stagger the VMs' load digests over the second.
 			if (w.ticks+i)%int(time.Second/tick) == 0 {
 				if err := w.spreadLoad(n); err != nil {
 					return err
@@ -131,31 +132,31 @@
 
 func (w *network) spreadLoad(n *node) error {
 	if w.rowBytes > 0 {
-		output, err := n.member.SetDigest(w.now, loadKind, w.changing(w.rowBytes*replicasPerGate))
+		output, err := n.member.SetDigest(w.now, loadKind, w.changingData(w.rowBytes*replicasPerGate))
 		if err != nil {
 			return err
 		}
-		w.take(n, output)
+		w.send(n, output)
 	}
 	if w.listBytes > 0 {
 		n.member.SetSum(listKind, make([]byte, w.listBytes))
-		n.member.SetSum(loadKind, w.changing(w.rowBytes*replicasListed))
+		n.member.SetSum(loadKind, w.changingData(w.rowBytes*replicasListed))
 	}
 	return nil
 }
 
-// changing makes data that differs from what it was a tick ago.
-func (w *network) changing(size int) []byte {
+// changingData returns data that differs from that of the previous tick.
+func (w *network) changingData(size int) []byte {
 	data := make([]byte, size)
 	copy(data, w.now.Format(time.StampMilli))
 	return data
 }
 
-// traffic is what one VM sends and receives a second.
+// traffic is the packets and bytes that one VM sends and receives per second.
 type traffic struct{ packets, out, in float64 }
 
-// measure runs the warm-up, then gives the traffic of each VM in the window and
-// the processor time of the whole, a VM and a second.
+// measure runs the warm-up and then the measurement window. It returns the traffic
+// of each VM in the window, and the CPU seconds per VM and second.
 func (w *network) measure() ([]traffic, float64, error) {
 	if err := w.run(warmUp); err != nil {
 		return nil, 0, err
--- a/cmd/capacity/processes.go
+++ b/cmd/capacity/processes.go
@@ -11,18 +11,18 @@
 	"slateway.example/slateway/test/harness"
 )
 
-// Layout of the measured fleets: as many places as today's sites have, and as
-// many replicas as fit beside the daemons on one machine.
+// Layout of the measured fleets: as many places as the present sites have, and as
+// many replicas as fit on one machine next to the daemons.
 const (
-	keepersMeasured  = 3
-	placesMeasured   = 3
-	replicasMeasured = 12
-	processReady     = 2 * time.Minute
-	processWarmUp    = 15 * time.Second
-	processWindow    = 30 * time.Second
+	keepersMeasured     = 3
+	placesMeasured      = 3
+	replicasMeasured    = 12
+	processStartTimeout = 2 * time.Minute
+	processWarmUp       = 15 * time.Second
+	processWindow       = 30 * time.Second
 )
 
-// roleSeries are the measured quantities of one role.
+// roleSeries holds the measured quantities of one role.
 type roleSeries struct{ udp, tcp, processor, memory series }
 
 func newRoleSeries(role string) *roleSeries {
@@ -34,7 +34,7 @@
 	}
 }
 
-// add takes the mean over the VMs of the role.
+// add records the mean cost over the VMs of the role.
 func (r *roleSeries) add(gates int, spent []vmCost) {
 	var udp, tcp, processor, memory []float64
 	for _, c := range spent {
@@ -53,13 +53,14 @@
 	return []*series{&r.udp, &r.tcp, &r.processor, &r.memory}
 }
 
-// measureProcesses runs whole fleets without callers: what is spent is control.
+// measureProcesses runs whole fleets without callers, so that all measured cost is
+// control traffic.
 func measureProcesses(ctx context.Context, command *cli.Command) error {
 	folder, err := os.MkdirTemp("", "slateway-capacity-")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(folder) }() // a leftover folder does no harm
+	defer func() { _ = os.RemoveAll(folder) }() // a leftover temporary folder is harmless
 	programs, err := harness.Build(folder, false)
 	if err != nil {
 		return err
@@ -67,7 +68,7 @@
 	fmt.Printf("\n### Daemons on loopback: %d keepers, %d places, %d engines, no callers\n\n", keepersMeasured, placesMeasured, replicasMeasured)
 	gates, keepers := newRoleSeries("gate"), newRoleSeries("keeper")
 	for _, size := range command.IntSlice("gates") {
-		gateCosts, keeperCosts, err := processesOf(ctx, folder, programs, size, command.String("settings"))
+		gateCosts, keeperCosts, err := measureProcessFleet(ctx, folder, programs, size, command.String("settings"))
 		if err != nil {
 			return err
 		}
@@ -78,7 +79,7 @@
 	return nil
 }
 
-func processesOf(ctx context.Context, parent string, programs harness.Programs, gates int, settings string) (gateCosts, keeperCosts []vmCost, err error) {
+func measureProcessFleet(ctx context.Context, parent string, programs harness.Programs, gates int, settings string) (gateCosts, keeperCosts []vmCost, err error) {
 	folder, err := os.MkdirTemp(parent, "fleet-")
 	if err != nil {
 		return nil, nil, err
@@ -88,21 +89,21 @@
 		return nil, nil, err
 	}
 	defer fleet.Close()
-	if err := startAll(ctx, fleet); err != nil {
+	if err := startFleet(ctx, fleet); err != nil {
 		return nil, nil, err
 	}
 	time.Sleep(processWarmUp)
-	before, err := readAll(ctx, fleet)
+	before, err := takeSnapshots(ctx, fleet)
 	if err != nil {
 		return nil, nil, err
 	}
 	time.Sleep(processWindow)
-	after, err := readAll(ctx, fleet)
+	after, err := takeSnapshots(ctx, fleet)
 	if err != nil {
 		return nil, nil, err
 	}
 	for i, vm := range fleet.VMs {
-		cost := after[i].since(before[i])
+		cost := after[i].costSince(before[i])
 		if vm.Keeper {
 			keeperCosts = append(keeperCosts, cost)
 		} else {
@@ -121,8 +122,8 @@
 	return vms
 }
 
-func startAll(ctx context.Context, fleet *harness.Fleet) error {
-	ctx, cancel := context.WithTimeout(ctx, processReady)
+func startFleet(ctx context.Context, fleet *harness.Fleet) error {
+	ctx, cancel := context.WithTimeout(ctx, processStartTimeout)
 	defer cancel()
 	if err := fleet.Start(); err != nil {
 		return err
@@ -136,18 +137,18 @@
 	return fleet.WaitReady(ctx, map[string]int{"wordroom": replicasMeasured})
 }
 
-// reading is what a VM's counters and its process had used at a moment.
-type reading struct {
+// snapshot holds a VM's counters and its process's resource usage at one time.
+type snapshot struct {
 	at       time.Time
 	counters map[string]int64
 	usage    harness.Usage
 }
 
-// vmCost is what a VM spent: bytes a second in and out, % of a core, MB.
+// vmCost is the cost of a VM: bytes per second in and out, % of a core, resident MB.
 type vmCost struct{ udp, tcp, processor, memory float64 }
 
-func readAll(ctx context.Context, fleet *harness.Fleet) ([]reading, error) {
-	var list []reading
+func takeSnapshots(ctx context.Context, fleet *harness.Fleet) ([]snapshot, error) {
+	var list []snapshot
 	for _, vm := range fleet.VMs {
 		counters, err := vm.Counters(ctx)
 		if err != nil {
@@ -157,17 +158,17 @@
 		if err != nil {
 			return nil, err
 		}
-		list = append(list, reading{time.Now(), counters, usage})
+		list = append(list, snapshot{time.Now(), counters, usage})
 	}
 	return list, nil
 }
 
-func (r reading) since(before reading) vmCost {
+func (r snapshot) costSince(before snapshot) vmCost {
 	seconds := r.at.Sub(before.at).Seconds()
-	grown := func(name string) float64 { return float64(r.counters[name]-before.counters[name]) / seconds }
+	perSecond := func(name string) float64 { return float64(r.counters[name]-before.counters[name]) / seconds }
 	return vmCost{
-		udp:       grown("member.bytes_in") + grown("member.bytes_out"),
-		tcp:       grown("peers.bytes_in") + grown("peers.bytes_out"),
+		udp:       perSecond("member.bytes_in") + perSecond("member.bytes_out"),
+		tcp:       perSecond("peers.bytes_in") + perSecond("peers.bytes_out"),
 		processor: (r.usage.CPU - before.usage.CPU).Seconds() / seconds * 100,
 		memory:    float64(r.usage.Resident) / (1 << 20),
 	}
--- a/cmd/capacity/records.go
+++ b/cmd/capacity/records.go
@@ -33,12 +33,12 @@
 		memory.add(size, (heapBytes()-heap)/1024)
 		all, version := table.Changes(0)
 		identity.add(size, float64(len(codec.MustMarshal(all))))
-		spent := timeOf(func() error { return reportAll(table, now, size) })
+		spent := processorTimeOf(func() error { return applyLoads(table, now, size) })
 		announce.add(size, spent.Seconds()*1e6)
 		changed, _ := table.Changes(version)
 		encoded := codec.MustMarshal(changed)
 		loads.add(size, float64(len(encoded)))
-		decode.add(size, timeOf(func() error {
+		decode.add(size, processorTimeOf(func() error {
 			var digest upstream.Digest
 			return codec.Unmarshal(encoded, &digest)
 		}).Seconds()*1e6)
@@ -57,7 +57,7 @@
 	}
 }
 
-func reportAll(table *upstream.Table, now time.Time, size int) error {
+func applyLoads(table *upstream.Table, now time.Time, size int) error {
 	for i := range size {
 		a := replicaRecord(i)
 		digest := upstream.LoadDigest{Replica: a.Replica, Incarnation: a.Incarnation, Sequence: 2, Load: a.Load}
@@ -69,10 +69,10 @@
 	return nil
 }
 
-func timeOf(fn func() error) time.Duration {
+func processorTimeOf(fn func() error) time.Duration {
 	before := processorTime()
 	if err := fn(); err != nil {
-		panic(err) // the records are made above and are valid
+		panic(err) // the records are generated here and are valid
 	}
 	return processorTime() - before
 }
@@ -106,7 +106,7 @@
 	apply := &series{name: "ms to take in a full copy"}
 	for _, size := range []int{100, 500, 1000, 2000, 4200} {
 		heap := heapBytes()
-		registry, err := registryOf(size)
+		registry, err := newRegistry(size)
 		if err != nil {
 			return err
 		}
@@ -116,7 +116,7 @@
 		packed.add(size, float64(compressedSize(encoded))/1024)
 		heap = heapBytes()
 		view := team.NewView()
-		spent := timeOf(func() error {
+		spent := processorTimeOf(func() error {
 			var update team.Update
 			if err := codec.Unmarshal(encoded, &update); err != nil {
 				return err
@@ -133,7 +133,7 @@
 	return nil
 }
 
-func registryOf(teams int) (*team.Registry, error) {
+func newRegistry(teams int) (*team.Registry, error) {
 	template, err := team.ParseTemplate("standard", []byte(templateText))
 	if err != nil {
 		return nil, err
@@ -155,7 +155,7 @@
 	return registry, nil
 }
 
-// countingWriter counts what is written to it.
+// countingWriter counts the bytes written to it.
 type countingWriter struct{ size int }
 
 func (c *countingWriter) Write(data []byte) (int, error) {
@@ -167,7 +167,7 @@
 	counter := &countingWriter{}
 	writer := gzip.NewWriter(counter)
 	if _, err := writer.Write(data); err != nil {
-		panic(err) // the counter takes everything
+		panic(err) // countingWriter never fails
 	}
 	if err := writer.Close(); err != nil {
 		panic(err)
--- a/cmd/capacity/sockets.go
+++ b/cmd/capacity/sockets.go
@@ -22,8 +22,8 @@
 	socketWindow = 10 * time.Second
 )
 
-// measureSockets runs the real shells over loopback UDP, all in this process,
-// so that the kernel's part of each packet counts.
+// measureSockets runs fleet.Fleet instances in this process over loopback UDP, so
+// that the kernel's cost per packet is included.
 func measureSockets(ctx context.Context, _ *cli.Command) error {
 	fmt.Printf("\n### Real sockets on loopback, loads each second as rows of numbers\n\n")
 	bytes := &series{name: "B/s in+out"}
@@ -90,12 +90,13 @@
 	return fleets, nil
 }
 
-// freeAddresses finds ports by taking all of them before any is given back.
+// freeAddresses returns free loopback addresses. It binds all of them before it
+// releases any, so that they differ.
 func freeAddresses(count int) ([]string, error) {
 	var sockets []*net.UDPConn
 	defer func() {
 		for _, socket := range sockets {
-			_ = socket.Close() // nothing was sent
+			_ = socket.Close() // nothing was sent on it
 		}
 	}()
 	addresses := make([]string, count)
@@ -118,10 +119,10 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			data := make([]byte, numberRow*replicasPerGate)
+			data := make([]byte, numericRowBytes*replicasPerGate)
 			binary.BigEndian.PutUint64(data, count)
 			for _, f := range fleets {
-				_ = f.SetDigest(loadKind, data) // its size is within the bound
+				_ = f.SetDigest(loadKind, data) // cannot fail: the digest is below the size limit
 			}
 		}
 	}
--- a/cmd/slatewayd/main.go
+++ b/cmd/slatewayd/main.go
@@ -1,5 +1,5 @@
-// Command slatewayd is slateway's daemon: a gate, a keeper, or both, as its
-// settings file says.
+// Command slatewayd is slateway's daemon. It runs a gate, a keeper, or both, as
+// configured in its settings file.
 package main
 
 import (
@@ -20,17 +20,17 @@
 
 // Exit codes.
 const (
-	exitFailed   = 1 // the daemon could not start or go on
-	exitSettings = 2 // the settings or the command line are wrong
+	exitFailed   = 1 // the daemon could not start, or stopped on an error
+	exitSettings = 2 // invalid settings or command line
 )
 
-// errSettings marks errors that lie in the settings.
+// errSettings wraps errors in the settings or the command line.
 var errSettings = errors.New("settings")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	// Before the first handler is set, a reload must not end the process.
+	// A reload signal must not end the process before watchSettings handles it.
 	signal.Ignore(syscall.SIGHUP)
 	if err := command().Run(ctx, os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -56,13 +56,13 @@
 			Name:      "check",
 			Usage:     "check a settings file without starting",
 			ArgsUsage: "FILE",
-			Action:    check,
+			Action:    checkSettings,
 		}},
 	}
 }
 
-// settingsPath gives the settings file: the argument or, without one, the file
-// that the platform names.
+// settingsPath returns the path of the settings file: the argument or, without
+// one, the platform's default.
 func settingsPath(command *cli.Command) (string, error) {
 	switch command.Args().Len() {
 	case 1:
@@ -72,10 +72,10 @@
 			return path, nil
 		}
 	}
-	return "", fmt.Errorf("%w: name one settings file: slatewayd FILE", errSettings)
+	return "", fmt.Errorf("%w: no settings file or more than one given; usage: slatewayd FILE", errSettings)
 }
 
-func load(command *cli.Command) (settings.Settings, error) {
+func loadSettings(command *cli.Command) (settings.Settings, error) {
 	path, err := settingsPath(command)
 	if err != nil {
 		return settings.Settings{}, err
@@ -87,8 +87,8 @@
 	return loaded, nil
 }
 
-func check(_ context.Context, command *cli.Command) error {
-	if _, err := load(command); err != nil {
+func checkSettings(_ context.Context, command *cli.Command) error {
+	if _, err := loadSettings(command); err != nil {
 		return err
 	}
 	fmt.Println("the settings are good")
@@ -96,7 +96,7 @@
 }
 
 func run(ctx context.Context, command *cli.Command) error {
-	loaded, err := load(command)
+	loaded, err := loadSettings(command)
 	if err != nil {
 		return err
 	}
--- a/cmd/slatewayd/site.go
+++ b/cmd/slatewayd/site.go
@@ -20,23 +20,23 @@
 )
 
 const (
-	// watchInterval is how often the settings file is looked at; it may change
-	// without a signal.
-	watchInterval = time.Second
-	// diskRetry is how often a disk that has failed is tried again.
-	diskRetry = time.Second
-	// gcPercent is the garbage that may lie beside the live heap before it is
-	// collected. A VM of a site holds a few megabytes: to collect twice as often
-	// takes little processor time, and the memory is what such a site is short of.
+	// settingsPollInterval is how often the settings file is checked for changes; it
+	// may change without a SIGHUP.
+	settingsPollInterval = time.Second
+	// diskRetryInterval is how often a failed disk is tested for writes.
+	diskRetryInterval = time.Second
+	// gcPercent is the GOGC value of a control VM, half of Go's default. Its live
+	// heap is a few megabytes, so collecting twice as often costs little CPU time,
+	// and memory is scarce at such a site.
 	gcPercent = 50
 )
 
-// runSite runs a VM of a site of control VMs. When its disk fails it gives up its
-// part of the replicated state, waits until the disk takes writes again, and
-// begins anew from what lies there: a process that ended each time would be
-// started over and over, and log nothing else.
+// runSite runs one VM of a site of control VMs. When its disk fails, it stops its
+// replicas of the replicated state, waits until the disk accepts writes again, and
+// restarts from the data on disk. Exiting instead would cause a restart loop that
+// fills the log.
 func runSite(ctx context.Context, command *cli.Command, loaded settings.Settings, log *telemetry.Log) error {
-	defer zap.RedirectStdLog(log.Logger)() // of the HTTP library
+	defer zap.RedirectStdLog(log.Logger)() // net/http logs to the standard logger
 	debug.SetGCPercent(gcPercent)
 	for {
 		site, err := daemon.NewSite(loaded, platform.Edge(), log)
@@ -51,17 +51,17 @@
 			return err
 		}
 		log.Error("the disk has failed, waiting until it takes writes", zap.Error(err))
-		if !awaitDisk(ctx, loaded.VM.DataFolder) {
+		if !waitForDisk(ctx, loaded.VM.DataFolder) {
 			return nil
 		}
 		log.Info("the disk takes writes again", zap.String("folder", loaded.VM.DataFolder))
 	}
 }
 
-// awaitDisk returns when a file in the folder can be written and synced; false
-// if ctx has ended.
-func awaitDisk(ctx context.Context, folder string) bool {
-	ticker := time.NewTicker(diskRetry)
+// waitForDisk waits until a file in the folder can be written and synced. It
+// returns false if ctx ends first.
+func waitForDisk(ctx context.Context, folder string) bool {
+	ticker := time.NewTicker(diskRetryInterval)
 	defer ticker.Stop()
 	for settings.CheckWritable(folder) != nil {
 		select {
@@ -73,7 +73,7 @@
 	return ctx.Err() == nil
 }
 
-// watchSettings reloads the settings at SIGHUP and when their file has changed.
+// watchSettings reloads the settings on SIGHUP and when the file changes.
 func watchSettings(ctx context.Context, command *cli.Command, site *daemon.Site) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -83,9 +83,9 @@
 		site.RefuseReload(err)
 		return
 	}
-	ticker := time.NewTicker(watchInterval)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
-	last, _ := os.ReadFile(path) // it was read a moment ago; a failure shows at the next look
+	last, _ := os.ReadFile(path) // it was just read; the next poll reports an error
 	for {
 		forced := false
 		select {
--- a/cmd/standin-engine/main.go
+++ b/cmd/standin-engine/main.go
@@ -1,4 +1,4 @@
-// Command standin-engine runs a stand-in for a model engine, for tests and the
+// Command standin-engine runs a simulated model engine. It is for tests and the
 // quickstart only.
 package main
 
@@ -17,7 +17,7 @@
 	"slateway.example/slateway/standin/host"
 )
 
-// exitCrashed is the exit code after a request with the crash marker.
+// exitCrashed is the exit code after a request that contains the crash marker.
 const exitCrashed = 3
 
 func main() {
@@ -38,17 +38,17 @@
 			host.Flags(),
 			&cli.StringSliceFlag{Name: "model", Value: []string{"small@1"}, Usage: "`NAME@VERSION` of a loaded model; repeatable"},
 			&cli.StringFlag{Name: "role", Value: defaults.Role, Usage: "both, prefill or decode"},
-			&cli.IntFlag{Name: "max-tokens", Value: defaults.MaxTokens, Usage: "tokens of an answer whose request sets no limit"},
+			&cli.IntFlag{Name: "max-tokens", Value: defaults.MaxTokens, Usage: "tokens of an answer if the request sets no limit"},
 			&cli.DurationFlag{Name: "first-token", Value: defaults.FirstToken, Usage: "time to the first token"},
-			&cli.DurationFlag{Name: "first-token-cached", Value: defaults.FirstTokenCached, Usage: "the same with the prefix cached"},
+			&cli.DurationFlag{Name: "first-token-cached", Value: defaults.FirstTokenCached, Usage: "time to the first token if the prefix is cached"},
 			&cli.DurationFlag{Name: "token-every", Value: defaults.TokenEvery, Usage: "time between tokens"},
 			&cli.DurationFlag{Name: "token-per-running", Usage: "added to --token-every for each other running stream"},
-			&cli.IntFlag{Name: "cached-prefixes", Value: defaults.CachedPrefixes, Usage: "prompt prefixes remembered"},
+			&cli.IntFlag{Name: "cached-prefixes", Value: defaults.CachedPrefixes, Usage: "number of prompt prefixes kept in the cache"},
 			&cli.DurationFlag{Name: "load-lag", Value: defaults.LoadLag, Usage: "age of the reported load"},
-			&cli.DurationFlag{Name: "order-time", Value: defaults.OrderTime, Usage: "time that an order takes"},
-			&cli.BoolFlag{Name: "checks-fencing", Usage: "refuse orders with an old fencing number"},
-			&cli.BoolFlag{Name: "can-resume", Value: true, Usage: "continue a stream at a token"},
-			&cli.BoolFlag{Name: "can-cancel", Value: true, Usage: "cancel a stream by its request ID"},
+			&cli.DurationFlag{Name: "order-time", Value: defaults.OrderTime, Usage: "duration of an order"},
+			&cli.BoolFlag{Name: "checks-fencing", Usage: "reject orders with an outdated fencing number"},
+			&cli.BoolFlag{Name: "can-resume", Value: true, Usage: "support continuing a stream at a token"},
+			&cli.BoolFlag{Name: "can-cancel", Value: true, Usage: "support cancelling a stream by its request ID"},
 		),
 		Action: run,
 	}
--- a/cmd/standin-service/main.go
+++ b/cmd/standin-service/main.go
@@ -1,5 +1,5 @@
-// Command standin-service runs a stand-in for a plain service, for tests and
-// the quickstart only.
+// Command standin-service runs a simulated plain service. It is for tests and the
+// quickstart only.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	"slateway.example/slateway/standin/service"
 )
 
-// exitCrashed is the exit code after a call with the crash marker.
+// exitCrashed is the exit code after a call that contains the crash marker.
 const exitCrashed = 3
 
 func main() {
@@ -34,7 +34,7 @@
 		Usage: "a stand-in for a plain service",
 		Flags: append(
 			host.Flags(),
-			&cli.DurationFlag{Name: "delay", Value: service.Defaults().Delay, Usage: "time that a call takes"},
+			&cli.DurationFlag{Name: "delay", Value: service.Defaults().Delay, Usage: "duration of a call"},
 		),
 		Action: run,
 	}
