--- a/cmd/capacity/losses.go
+++ b/cmd/capacity/losses.go
@@ -47,7 +47,8 @@
 	return w
 }
 
-// measureUntil runs measureUntil the condition holds and prints how long that took.
+// measureUntil runs the network until the condition holds and prints how long that
+// took.
 func (w *network) measureUntil(event, what string, holds func() bool) error {
 	begun := w.now
 	for !holds() {
@@ -73,7 +74,7 @@
 	return list
 }
 
-// allMatch reports whether the entry of vm matches at all nodes.
+// allMatch reports whether the entry of vm matches at every node that has one.
 func allMatch(nodes []*node, vm string, matches func(member.Member) bool) bool {
 	for _, n := range nodes {
 		for _, m := range n.member.Members() {
--- a/design/api.go
+++ b/design/api.go
@@ -1,13 +1,13 @@
 // Package design describes the public HTTP APIs for callers, upstreams and
 // operators in goa's DSL; package gen is generated from it (make generate).
 //
-// Errors are not declared per method: all are apierr.Error values that one
-// formatter (internal/api) writes in the OpenAI error shape. Declaring eleven
-// kinds on each of 24 methods had made five times as much generated code for
-// the same bodies.
+// Errors are not declared per method: all are apierr.Error values, which one
+// formatter (internal/api) encodes in the OpenAI error format. Declaring eleven
+// kinds on each of 24 methods produced five times as much generated code for the
+// same bodies.
 //
-// The OpenAI-compatible routes and /services/ are not here: they pass bodies
-// and streams through unchanged, which a described payload would not.
+// The OpenAI-compatible routes and /services/ are not described here: they pass
+// bodies and streams through unchanged, but goa decodes a described payload.
 package design
 
 import (
@@ -16,7 +16,7 @@
 
 var _ = API("slateway", func() {
 	Title("slateway")
-	Description("Online and batch inference on one fleet.")
+	Description("Online and batch inference on a shared fleet.")
 	Server("slatewayd", func() {
 		Host("local", func() { URI("http://127.0.0.1:8080") })
 	})
--- a/design/fleet.go
+++ b/design/fleet.go
@@ -11,28 +11,28 @@
 	Required("name")
 })
 
-// Announcement is what an upstream says of itself, about once a second.
+// Announcement is an upstream's description of itself, sent about once a second.
 var Announcement = Type("Announcement", func() {
 	Attribute("service", String, "Model or service name", func() {
 		MinLength(1)
 		MaxLength(200)
 	})
 	Attribute("kind", String, func() { Enum("engine", "service") })
-	Attribute("replica", String, "Replica ID, stable over restarts", func() {
+	Attribute("replica", String, "Replica ID, stable across restarts", func() {
 		MinLength(1)
 		MaxLength(200)
 	})
-	Attribute("incarnation", UInt64, "Grows with each start of the replica")
-	Attribute("sequence", UInt64, "Grows with each announcement of an incarnation")
-	Attribute("address", String, "Where it serves, IP and port")
+	Attribute("incarnation", UInt64, "Increases with each start of the replica")
+	Attribute("sequence", UInt64, "Increases with each announcement of an incarnation")
+	Attribute("address", String, "Address at which it serves, IP and port")
 	Attribute("place", String)
 	Attribute("vm", String)
 	Attribute("models", ArrayOf(Model), func() { MaxLength(256) })
-	Attribute("slots", Int, "Requests it runs at once", func() { Minimum(0) })
+	Attribute("slots", Int, "Number of requests that it can run concurrently", func() { Minimum(0) })
 	Attribute("running", Int, func() { Minimum(0) })
 	Attribute("queued", Int, func() { Minimum(0) })
 	Attribute("ready", Boolean)
-	Attribute("leaving", Boolean, "Sticky for the incarnation")
+	Attribute("leaving", Boolean, "Whether it is leaving the fleet; stays true for the rest of the incarnation")
 	Attribute("checks_fencing", Boolean)
 	Attribute("can_resume", Boolean)
 	Attribute("can_cancel", Boolean)
@@ -40,24 +40,24 @@
 	Required("service", "kind", "replica", "incarnation", "sequence", "address", "place")
 })
 
-// UpstreamStatus is a replica as a gate sees it.
+// UpstreamStatus is a gate's view of a replica.
 var UpstreamStatus = Type("UpstreamStatus", func() {
 	Extend(Announcement)
 	Attribute("state", String, "ready, suspect, probing, leaving or gone")
-	Attribute("in_flight", Int, "Requests of this gate that run there")
+	Attribute("in_flight", Int, "Requests of this gate that are running on the replica")
 	Required("state", "in_flight")
 })
 
-// CacheEvent tells that an engine cached or evicted a prompt prefix.
+// CacheEvent reports that an engine cached or evicted a prompt prefix.
 var CacheEvent = Type("CacheEvent", func() {
-	Attribute("sequence", UInt64, "Consecutive; a gap voids what was believed of the replica's cache")
+	Attribute("sequence", UInt64, "Consecutive; a gap invalidates what the gate recorded of the replica's cache")
 	Attribute("prefix", UInt64, "Hash of the prefix")
-	Attribute("cached", Boolean, "False when it was evicted")
+	Attribute("cached", Boolean, "False if the prefix was evicted")
 	Required("sequence", "prefix", "cached")
 })
 
 var _ = Service("upstreams", func() {
-	Description("Announcements of upstreams.")
+	Description("Announcements and cache events from upstreams, and the list of replicas.")
 	HTTP(func() {
 		Path("/v1/upstreams")
 	})
@@ -65,7 +65,7 @@
 	Method("announce", func() {
 		Payload(Announcement)
 		Result(func() {
-			Attribute("interval_ms", Int64, "When to announce again, in milliseconds")
+			Attribute("interval_ms", Int64, "Time until the next announcement, in milliseconds")
 			Required("interval_ms")
 		})
 		HTTP(func() { POST("/announce") })
@@ -92,20 +92,20 @@
 })
 
 var _ = Service("entries", func() {
-	Description("Where callers connect.")
+	Description("Directory of the gates that callers connect to.")
 	HTTP(func() {
 		Path("/v1/entries")
 	})
 
 	Method("get", func() {
-		Description("Gate addresses in the order to try them.")
+		Description("Return gate addresses, in the order in which to try them.")
 		Payload(func() {
-			Attribute("place", String, "The caller's own place, if it knows it")
+			Attribute("place", String, "The caller's own place, if known")
 		})
 		Result(func() {
 			Attribute("entries", ArrayOf(Entry))
-			Attribute("lifetime_ms", Int64, "How long to keep this answer, in milliseconds")
-			Attribute("revision", UInt64, "Grows when the answer changes")
+			Attribute("lifetime_ms", Int64, "How long the answer may be cached, in milliseconds")
+			Attribute("revision", UInt64, "Increases when the answer changes")
 			Required("entries", "lifetime_ms", "revision")
 		})
 		HTTP(func() {
@@ -115,7 +115,7 @@
 	})
 })
 
-// Entry is one gate's address.
+// Entry is the address of a gate.
 var Entry = Type("Entry", func() {
 	Attribute("address", String, "IP and port for callers")
 	Attribute("vm", String)
--- a/design/jobs.go
+++ b/design/jobs.go
@@ -4,7 +4,7 @@
 	. "goa.design/goa/v3/dsl"
 )
 
-// JobStatus is one batch job as its team sees it.
+// JobStatus is a team's view of a batch job.
 var JobStatus = Type("JobStatus", func() {
 	Attribute("id", String, "Job ID")
 	Attribute("job_key", String, "The caller's own key")
@@ -13,16 +13,16 @@
 	Attribute("deadline", String, "When the job is due, RFC 3339", func() { Format(FormatDateTime) })
 	Attribute("items", Int64, "Items accepted")
 	Attribute("done", Int64, "Items with a result")
-	Attribute("failed", Int64, "Items that ended without one")
-	Attribute("cancelled", Int64, "Items that the cancel ended")
+	Attribute("failed", Int64, "Items that ended without a result")
+	Attribute("cancelled", Int64, "Items ended by cancelling the job")
 	Attribute("parts", Int, "Parts accepted")
-	Attribute("non_idempotent", Boolean, "Whether items run at most once")
-	Attribute("finished_at", String, "When the last item ended, RFC 3339; empty until then")
-	Attribute("results_until", String, "Until when the results stay readable, RFC 3339; empty until then")
+	Attribute("non_idempotent", Boolean, "Whether each item runs at most once")
+	Attribute("finished_at", String, "When the last item ended, RFC 3339; empty before that")
+	Attribute("results_until", String, "When the results expire, RFC 3339; empty until the job has ended")
 	Required("id", "job_key", "service", "state", "deadline", "items", "done", "failed", "cancelled", "parts", "non_idempotent")
 })
 
-// jobRef is the payload of calls that concern one job.
+// jobRef defines the payload attributes of calls that refer to one job.
 var jobRef = func() {
 	APIKey("team_token", "token", String)
 	Attribute("id", String, "Job ID")
@@ -38,15 +38,15 @@
 	})
 
 	Method("create", func() {
-		Description("Create a job, or find the one with the same key.")
+		Description("Create a job, or return the existing one with the same key.")
 		Payload(func() {
 			APIKey("team_token", "token", String)
-			Attribute("job_key", String, "The caller's own key; a resend with it finds the same job", func() {
+			Attribute("job_key", String, "The caller's own key; a repeated request with this key returns the same job", func() {
 				MinLength(1)
 				MaxLength(200)
 			})
-			Attribute("service", String, "Model or service; the team's own when empty", func() { MaxLength(200) })
-			Attribute("deadline", String, "When the job is due, RFC 3339; the team's default when empty")
+			Attribute("service", String, "Model or service; empty means the team's own", func() { MaxLength(200) })
+			Attribute("deadline", String, "When the job is due, RFC 3339; empty means the team's default")
 			Attribute("non_idempotent", Boolean, "Run each item at most once")
 			Required("job_key")
 		})
@@ -64,10 +64,10 @@
 	})
 
 	Method("add_part", func() {
-		Description("Add a part: NDJSON lines of {custom_id, url, body}. The whole part is accepted or none of it.")
+		Description("Add a part: NDJSON lines of {custom_id, url, body}. A part is accepted or rejected as a whole.")
 		Payload(func() {
 			jobRef()
-			Attribute("part", Int, "Part number from 0; a resend with it is accepted once", func() {
+			Attribute("part", Int, "Part number, counted from 0; a part that is sent repeatedly is accepted once", func() {
 				Minimum(0)
 				Maximum(100000)
 			})
@@ -84,7 +84,7 @@
 	})
 
 	Method("seal", func() {
-		Description("Seal the job: it has so many parts and no more.")
+		Description("Seal the job: set its number of parts and accept no further ones.")
 		Payload(func() {
 			jobRef()
 			Attribute("parts", Int, "Number of parts sent", func() { Minimum(0) })
@@ -107,14 +107,14 @@
 	})
 
 	Method("results", func() {
-		Description("Read results in item order as NDJSON. Next-From names the first item that is not yet in the answer.")
+		Description("Read results in item order as NDJSON. The Next-From header is the first item that is not in the answer.")
 		Payload(func() {
 			jobRef()
-			Attribute("from", Int64, "First item", func() {
+			Attribute("from", Int64, "First item to return", func() {
 				Minimum(0)
 				Default(0)
 			})
-			Attribute("limit", Int, "Most items to return", func() {
+			Attribute("limit", Int, "Maximum number of items to return", func() {
 				Minimum(1)
 				Maximum(10000)
 				Default(1000)
@@ -122,7 +122,7 @@
 		})
 		Result(func() {
 			Attribute("next", Int64, "Resume from this item")
-			Attribute("complete", Boolean, "Whether the answer reaches the end of an ended job")
+			Attribute("complete", Boolean, "Whether the job has ended and the answer includes its last result")
 			Required("next", "complete")
 		})
 		HTTP(func() {
--- a/design/operators.go
+++ b/design/operators.go
@@ -4,10 +4,10 @@
 	. "goa.design/goa/v3/dsl"
 )
 
-// change holds the attributes of every configuration change.
+// change defines the attributes of every configuration change.
 var change = func() {
 	Attribute("base_revision", UInt64, "Revision at which the object last changed; 0 to create it")
-	Attribute("change_id", String, "The operator's own ID; a resend with it gets the first answer", func() {
+	Attribute("change_id", String, "The operator's own ID; a repeated request with this ID returns the first answer", func() {
 		MinLength(1)
 		MaxLength(200)
 	})
@@ -15,38 +15,38 @@
 	Required("base_revision", "change_id")
 }
 
-// ChangeResult answers an accepted change.
+// ChangeResult is the answer to an accepted change.
 var ChangeResult = Type("ChangeResult", func() {
-	Attribute("revision", UInt64, "The configuration's revision with this change")
+	Attribute("revision", UInt64, "Configuration revision that includes this change")
 	Attribute("change_id", String)
 	Required("revision", "change_id")
 })
 
-// Template is a stored template.
+// Template is a stored configuration template.
 var Template = Type("Template", func() {
 	Attribute("name", String)
 	Attribute("source", String, "TOML text")
-	Attribute("revision", UInt64, "When it last changed")
+	Attribute("revision", UInt64, "Revision of its last change")
 	Required("name", "source", "revision")
 })
 
-// Team is a team as operators see it; its tokens are never shown.
+// Team is an operator's view of a team. Tokens are never returned.
 var Team = Type("Team", func() {
 	Attribute("name", String)
 	Attribute("template", String)
 	Attribute("parameters", MapOf(String, String))
-	Attribute("revision", UInt64, "When it last changed")
+	Attribute("revision", UInt64, "Revision of its last change")
 	Required("name", "template", "parameters", "revision")
 })
 
-// GroupStatus is one replicated log as its keeper sees it.
+// GroupStatus is a keeper's view of one replicated log.
 var GroupStatus = Type("GroupStatus", func() {
 	Attribute("group", UInt32)
-	Attribute("leader", String, "VM of the leader; empty when there is none")
+	Attribute("leader", String, "VM of the leader; empty if there is none")
 	Attribute("voters", ArrayOf(String))
 	Attribute("learners", ArrayOf(String))
 	Attribute("commit", UInt64, "Index of the last committed entry")
-	Attribute("tolerance", Int, "Further losses that the group survives now")
+	Attribute("tolerance", Int, "Number of further member losses that the group survives now")
 	Required("group", "leader", "voters", "learners", "commit", "tolerance")
 })
 
@@ -57,7 +57,7 @@
 	Attribute("region", String)
 	Attribute("roles", ArrayOf(String))
 	Attribute("callers", String, "Address for callers, IP and port")
-	Attribute("peers", String, "Address for the system's own processes, IP and port")
+	Attribute("peers", String, "Address for traffic between slateway's own processes, IP and port")
 	Attribute("state", String, "alive, suspect, draining, left or lost")
 	Attribute("incarnation", UInt64)
 	Attribute("groups", ArrayOf(GroupStatus))
@@ -65,7 +65,7 @@
 })
 
 var _ = Service("config", func() {
-	Description("Templates, teams and changes, for operators.")
+	Description("Templates, teams and configuration changes, for operators.")
 	HTTP(func() {
 		Path("/v1")
 	})
@@ -101,7 +101,7 @@
 			Attribute("name", String)
 			Attribute("template", String)
 			Attribute("parameters", MapOf(String, String))
-			Attribute("tokens", ArrayOf(String), "Bearer tokens; the stored ones are kept when empty", func() { MaxLength(16) })
+			Attribute("tokens", ArrayOf(String), "Bearer tokens; empty keeps the stored ones", func() { MaxLength(16) })
 			Required("name", "template")
 		})
 		Result(ChangeResult)
@@ -144,8 +144,8 @@
 		})
 		Result(func() {
 			Attribute("revision", UInt64)
-			Attribute("in_force", Boolean, "Whether every live gate serves under it")
-			Attribute("waiting_for", ArrayOf(String), "VMs of gates that do not yet")
+			Attribute("in_force", Boolean, "Whether every live gate serves with this change")
+			Attribute("waiting_for", ArrayOf(String), "VMs of the gates that do not serve with it yet")
 			Required("revision", "in_force", "waiting_for")
 		})
 		HTTP(func() { GET("/changes/{revision}") })
@@ -164,7 +164,7 @@
 	})
 
 	Method("replace", func() {
-		Description("Replace a keeper whose disk was lost by the blank one that now runs on its VM.")
+		Description("Replace a keeper that lost its disk by the new, empty keeper that runs on the same VM.")
 		Payload(func() {
 			Attribute("vm", String)
 			Required("vm")
--- a/gen/config/service.go
+++ b/gen/config/service.go
@@ -11,7 +11,7 @@
 	"context"
 )
 
-// Templates, teams and changes, for operators.
+// Templates, teams and configuration changes, for operators.
 type Service interface {
 	// PutTemplate implements put_template.
 	PutTemplate(context.Context, *PutTemplatePayload) (res *ChangeResult, err error)
@@ -49,7 +49,7 @@
 
 // ChangeResult is the result type of the config service put_template method.
 type ChangeResult struct {
-	// The configuration's revision with this change
+	// Configuration revision that includes this change
 	Revision uint64
 	ChangeID string
 }
@@ -64,9 +64,9 @@
 // method.
 type ChangeStatusResult struct {
 	Revision uint64
-	// Whether every live gate serves under it
+	// Whether every live gate serves with this change
 	InForce bool
-	// VMs of gates that do not yet
+	// VMs of the gates that do not serve with it yet
 	WaitingFor []string
 }
 
@@ -75,7 +75,8 @@
 type DeleteTeamPayload struct {
 	// Revision at which the object last changed; 0 to create it
 	BaseRevision uint64
-	// The operator's own ID; a resend with it gets the first answer
+	// The operator's own ID; a repeated request with this ID returns the first
+	// answer
 	ChangeID string
 	Operator *string
 	Name     string
@@ -85,13 +86,14 @@
 type PutTeamPayload struct {
 	// Revision at which the object last changed; 0 to create it
 	BaseRevision uint64
-	// The operator's own ID; a resend with it gets the first answer
+	// The operator's own ID; a repeated request with this ID returns the first
+	// answer
 	ChangeID   string
 	Operator   *string
 	Name       string
 	Template   string
 	Parameters map[string]string
-	// Bearer tokens; the stored ones are kept when empty
+	// Bearer tokens; empty keeps the stored ones
 	Tokens []string
 }
 
@@ -100,7 +102,8 @@
 type PutTemplatePayload struct {
 	// Revision at which the object last changed; 0 to create it
 	BaseRevision uint64
-	// The operator's own ID; a resend with it gets the first answer
+	// The operator's own ID; a repeated request with this ID returns the first
+	// answer
 	ChangeID string
 	Operator *string
 	Name     string
@@ -124,7 +127,7 @@
 	Name       string
 	Template   string
 	Parameters map[string]string
-	// When it last changed
+	// Revision of its last change
 	Revision uint64
 }
 
@@ -133,6 +136,6 @@
 	Name string
 	// TOML text
 	Source string
-	// When it last changed
+	// Revision of its last change
 	Revision uint64
 }
--- a/gen/entries/service.go
+++ b/gen/entries/service.go
@@ -11,9 +11,9 @@
 	"context"
 )
 
-// Where callers connect.
+// Directory of the gates that callers connect to.
 type Service interface {
-	// Gate addresses in the order to try them.
+	// Return gate addresses, in the order in which to try them.
 	Get(context.Context, *GetPayload) (res *GetResult, err error)
 }
 
@@ -42,15 +42,15 @@
 
 // GetPayload is the payload type of the entries service get method.
 type GetPayload struct {
-	// The caller's own place, if it knows it
+	// The caller's own place, if known
 	Place *string
 }
 
 // GetResult is the result type of the entries service get method.
 type GetResult struct {
 	Entries []*Entry
-	// How long to keep this answer, in milliseconds
+	// How long the answer may be cached, in milliseconds
 	LifetimeMs int64
-	// Grows when the answer changes
+	// Increases when the answer changes
 	Revision uint64
 }
--- a/gen/http/config/server/types.go
+++ b/gen/http/config/server/types.go
@@ -19,7 +19,8 @@
 type PutTemplateRequestBody struct {
 	// Revision at which the object last changed; 0 to create it
 	BaseRevision *uint64 `form:"base_revision,omitempty" json:"base_revision,omitempty" xml:"base_revision,omitempty"`
-	// The operator's own ID; a resend with it gets the first answer
+	// The operator's own ID; a repeated request with this ID returns the first
+	// answer
 	ChangeID *string `form:"change_id,omitempty" json:"change_id,omitempty" xml:"change_id,omitempty"`
 	Operator *string `form:"operator,omitempty" json:"operator,omitempty" xml:"operator,omitempty"`
 	// TOML text
@@ -31,19 +32,20 @@
 type PutTeamRequestBody struct {
 	// Revision at which the object last changed; 0 to create it
 	BaseRevision *uint64 `form:"base_revision,omitempty" json:"base_revision,omitempty" xml:"base_revision,omitempty"`
-	// The operator's own ID; a resend with it gets the first answer
+	// The operator's own ID; a repeated request with this ID returns the first
+	// answer
 	ChangeID   *string           `form:"change_id,omitempty" json:"change_id,omitempty" xml:"change_id,omitempty"`
 	Operator   *string           `form:"operator,omitempty" json:"operator,omitempty" xml:"operator,omitempty"`
 	Template   *string           `form:"template,omitempty" json:"template,omitempty" xml:"template,omitempty"`
 	Parameters map[string]string `form:"parameters,omitempty" json:"parameters,omitempty" xml:"parameters,omitempty"`
-	// Bearer tokens; the stored ones are kept when empty
+	// Bearer tokens; empty keeps the stored ones
 	Tokens []string `form:"tokens,omitempty" json:"tokens,omitempty" xml:"tokens,omitempty"`
 }
 
 // PutTemplateResponseBody is the type of the "config" service "put_template"
 // endpoint HTTP response body.
 type PutTemplateResponseBody struct {
-	// The configuration's revision with this change
+	// Configuration revision that includes this change
 	Revision uint64 `form:"revision" json:"revision" xml:"revision"`
 	ChangeID string `form:"change_id" json:"change_id" xml:"change_id"`
 }
@@ -58,14 +60,14 @@
 	Name string `form:"name" json:"name" xml:"name"`
 	// TOML text
 	Source string `form:"source" json:"source" xml:"source"`
-	// When it last changed
+	// Revision of its last change
 	Revision uint64 `form:"revision" json:"revision" xml:"revision"`
 }
 
 // PutTeamResponseBody is the type of the "config" service "put_team" endpoint
 // HTTP response body.
 type PutTeamResponseBody struct {
-	// The configuration's revision with this change
+	// Configuration revision that includes this change
 	Revision uint64 `form:"revision" json:"revision" xml:"revision"`
 	ChangeID string `form:"change_id" json:"change_id" xml:"change_id"`
 }
@@ -73,7 +75,7 @@
 // DeleteTeamResponseBody is the type of the "config" service "delete_team"
 // endpoint HTTP response body.
 type DeleteTeamResponseBody struct {
-	// The configuration's revision with this change
+	// Configuration revision that includes this change
 	Revision uint64 `form:"revision" json:"revision" xml:"revision"`
 	ChangeID string `form:"change_id" json:"change_id" xml:"change_id"`
 }
@@ -88,7 +90,7 @@
 	Name       string            `form:"name" json:"name" xml:"name"`
 	Template   string            `form:"template" json:"template" xml:"template"`
 	Parameters map[string]string `form:"parameters" json:"parameters" xml:"parameters"`
-	// When it last changed
+	// Revision of its last change
 	Revision uint64 `form:"revision" json:"revision" xml:"revision"`
 }
 
@@ -96,9 +98,9 @@
 // endpoint HTTP response body.
 type ChangeStatusResponseBody struct {
 	Revision uint64 `form:"revision" json:"revision" xml:"revision"`
-	// Whether every live gate serves under it
+	// Whether every live gate serves with this change
 	InForce bool `form:"in_force" json:"in_force" xml:"in_force"`
-	// VMs of gates that do not yet
+	// VMs of the gates that do not serve with it yet
 	WaitingFor []string `form:"waiting_for" json:"waiting_for" xml:"waiting_for"`
 }
 
@@ -107,7 +109,7 @@
 	Name string `form:"name" json:"name" xml:"name"`
 	// TOML text
 	Source string `form:"source" json:"source" xml:"source"`
-	// When it last changed
+	// Revision of its last change
 	Revision uint64 `form:"revision" json:"revision" xml:"revision"`
 }
 
@@ -116,7 +118,7 @@
 	Name       string            `form:"name" json:"name" xml:"name"`
 	Template   string            `form:"template" json:"template" xml:"template"`
 	Parameters map[string]string `form:"parameters" json:"parameters" xml:"parameters"`
-	// When it last changed
+	// Revision of its last change
 	Revision uint64 `form:"revision" json:"revision" xml:"revision"`
 }
 
--- a/gen/http/entries/server/types.go
+++ b/gen/http/entries/server/types.go
@@ -15,9 +15,9 @@
 // response body.
 type GetResponseBody struct {
 	Entries []*EntryResponseBody `form:"entries" json:"entries" xml:"entries"`
-	// How long to keep this answer, in milliseconds
+	// How long the answer may be cached, in milliseconds
 	LifetimeMs int64 `form:"lifetime_ms" json:"lifetime_ms" xml:"lifetime_ms"`
-	// Grows when the answer changes
+	// Increases when the answer changes
 	Revision uint64 `form:"revision" json:"revision" xml:"revision"`
 }
 
--- a/gen/http/jobs/server/types.go
+++ b/gen/http/jobs/server/types.go
@@ -17,11 +17,11 @@
 // CreateRequestBody is the type of the "jobs" service "create" endpoint HTTP
 // request body.
 type CreateRequestBody struct {
-	// The caller's own key; a resend with it finds the same job
+	// The caller's own key; a repeated request with this key returns the same job
 	JobKey *string `form:"job_key,omitempty" json:"job_key,omitempty" xml:"job_key,omitempty"`
-	// Model or service; the team's own when empty
+	// Model or service; empty means the team's own
 	Service *string `form:"service,omitempty" json:"service,omitempty" xml:"service,omitempty"`
-	// When the job is due, RFC 3339; the team's default when empty
+	// When the job is due, RFC 3339; empty means the team's default
 	Deadline *string `form:"deadline,omitempty" json:"deadline,omitempty" xml:"deadline,omitempty"`
 	// Run each item at most once
 	NonIdempotent *bool `form:"non_idempotent,omitempty" json:"non_idempotent,omitempty" xml:"non_idempotent,omitempty"`
@@ -51,17 +51,17 @@
 	Items int64 `form:"items" json:"items" xml:"items"`
 	// Items with a result
 	Done int64 `form:"done" json:"done" xml:"done"`
-	// Items that ended without one
+	// Items that ended without a result
 	Failed int64 `form:"failed" json:"failed" xml:"failed"`
-	// Items that the cancel ended
+	// Items ended by cancelling the job
 	Cancelled int64 `form:"cancelled" json:"cancelled" xml:"cancelled"`
 	// Parts accepted
 	Parts int `form:"parts" json:"parts" xml:"parts"`
-	// Whether items run at most once
+	// Whether each item runs at most once
 	NonIdempotent bool `form:"non_idempotent" json:"non_idempotent" xml:"non_idempotent"`
-	// When the last item ended, RFC 3339; empty until then
+	// When the last item ended, RFC 3339; empty before that
 	FinishedAt *string `form:"finished_at,omitempty" json:"finished_at,omitempty" xml:"finished_at,omitempty"`
-	// Until when the results stay readable, RFC 3339; empty until then
+	// When the results expire, RFC 3339; empty until the job has ended
 	ResultsUntil *string `form:"results_until,omitempty" json:"results_until,omitempty" xml:"results_until,omitempty"`
 }
 
@@ -93,17 +93,17 @@
 	Items int64 `form:"items" json:"items" xml:"items"`
 	// Items with a result
 	Done int64 `form:"done" json:"done" xml:"done"`
-	// Items that ended without one
+	// Items that ended without a result
 	Failed int64 `form:"failed" json:"failed" xml:"failed"`
-	// Items that the cancel ended
+	// Items ended by cancelling the job
 	Cancelled int64 `form:"cancelled" json:"cancelled" xml:"cancelled"`
 	// Parts accepted
 	Parts int `form:"parts" json:"parts" xml:"parts"`
-	// Whether items run at most once
+	// Whether each item runs at most once
 	NonIdempotent bool `form:"non_idempotent" json:"non_idempotent" xml:"non_idempotent"`
-	// When the last item ended, RFC 3339; empty until then
+	// When the last item ended, RFC 3339; empty before that
 	FinishedAt *string `form:"finished_at,omitempty" json:"finished_at,omitempty" xml:"finished_at,omitempty"`
-	// Until when the results stay readable, RFC 3339; empty until then
+	// When the results expire, RFC 3339; empty until the job has ended
 	ResultsUntil *string `form:"results_until,omitempty" json:"results_until,omitempty" xml:"results_until,omitempty"`
 }
 
@@ -124,17 +124,17 @@
 	Items int64 `form:"items" json:"items" xml:"items"`
 	// Items with a result
 	Done int64 `form:"done" json:"done" xml:"done"`
-	// Items that ended without one
+	// Items that ended without a result
 	Failed int64 `form:"failed" json:"failed" xml:"failed"`
-	// Items that the cancel ended
+	// Items ended by cancelling the job
 	Cancelled int64 `form:"cancelled" json:"cancelled" xml:"cancelled"`
 	// Parts accepted
 	Parts int `form:"parts" json:"parts" xml:"parts"`
-	// Whether items run at most once
+	// Whether each item runs at most once
 	NonIdempotent bool `form:"non_idempotent" json:"non_idempotent" xml:"non_idempotent"`
-	// When the last item ended, RFC 3339; empty until then
+	// When the last item ended, RFC 3339; empty before that
 	FinishedAt *string `form:"finished_at,omitempty" json:"finished_at,omitempty" xml:"finished_at,omitempty"`
-	// Until when the results stay readable, RFC 3339; empty until then
+	// When the results expire, RFC 3339; empty until the job has ended
 	ResultsUntil *string `form:"results_until,omitempty" json:"results_until,omitempty" xml:"results_until,omitempty"`
 }
 
@@ -155,17 +155,17 @@
 	Items int64 `form:"items" json:"items" xml:"items"`
 	// Items with a result
 	Done int64 `form:"done" json:"done" xml:"done"`
-	// Items that ended without one
+	// Items that ended without a result
 	Failed int64 `form:"failed" json:"failed" xml:"failed"`
-	// Items that the cancel ended
+	// Items ended by cancelling the job
 	Cancelled int64 `form:"cancelled" json:"cancelled" xml:"cancelled"`
 	// Parts accepted
 	Parts int `form:"parts" json:"parts" xml:"parts"`
-	// Whether items run at most once
+	// Whether each item runs at most once
 	NonIdempotent bool `form:"non_idempotent" json:"non_idempotent" xml:"non_idempotent"`
-	// When the last item ended, RFC 3339; empty until then
+	// When the last item ended, RFC 3339; empty before that
 	FinishedAt *string `form:"finished_at,omitempty" json:"finished_at,omitempty" xml:"finished_at,omitempty"`
-	// Until when the results stay readable, RFC 3339; empty until then
+	// When the results expire, RFC 3339; empty until the job has ended
 	ResultsUntil *string `form:"results_until,omitempty" json:"results_until,omitempty" xml:"results_until,omitempty"`
 }
 
@@ -185,17 +185,17 @@
 	Items int64 `form:"items" json:"items" xml:"items"`
 	// Items with a result
 	Done int64 `form:"done" json:"done" xml:"done"`
-	// Items that ended without one
+	// Items that ended without a result
 	Failed int64 `form:"failed" json:"failed" xml:"failed"`
-	// Items that the cancel ended
+	// Items ended by cancelling the job
 	Cancelled int64 `form:"cancelled" json:"cancelled" xml:"cancelled"`
 	// Parts accepted
 	Parts int `form:"parts" json:"parts" xml:"parts"`
-	// Whether items run at most once
+	// Whether each item runs at most once
 	NonIdempotent bool `form:"non_idempotent" json:"non_idempotent" xml:"non_idempotent"`
-	// When the last item ended, RFC 3339; empty until then
+	// When the last item ended, RFC 3339; empty before that
 	FinishedAt *string `form:"finished_at,omitempty" json:"finished_at,omitempty" xml:"finished_at,omitempty"`
-	// Until when the results stay readable, RFC 3339; empty until then
+	// When the results expire, RFC 3339; empty until the job has ended
 	ResultsUntil *string `form:"results_until,omitempty" json:"results_until,omitempty" xml:"results_until,omitempty"`
 }
 
--- a/gen/http/members/server/types.go
+++ b/gen/http/members/server/types.go
@@ -23,7 +23,7 @@
 	Roles  []string `form:"roles" json:"roles" xml:"roles"`
 	// Address for callers, IP and port
 	Callers *string `form:"callers,omitempty" json:"callers,omitempty" xml:"callers,omitempty"`
-	// Address for the system's own processes, IP and port
+	// Address for traffic between slateway's own processes, IP and port
 	Peers string `form:"peers" json:"peers" xml:"peers"`
 	// alive, suspect, draining, left or lost
 	State       string                 `form:"state" json:"state" xml:"state"`
@@ -34,13 +34,13 @@
 // GroupStatusResponse is used to define fields on response body types.
 type GroupStatusResponse struct {
 	Group uint32 `form:"group" json:"group" xml:"group"`
-	// VM of the leader; empty when there is none
+	// VM of the leader; empty if there is none
 	Leader   string   `form:"leader" json:"leader" xml:"leader"`
 	Voters   []string `form:"voters" json:"voters" xml:"voters"`
 	Learners []string `form:"learners" json:"learners" xml:"learners"`
 	// Index of the last committed entry
 	Commit uint64 `form:"commit" json:"commit" xml:"commit"`
-	// Further losses that the group survives now
+	// Number of further member losses that the group survives now
 	Tolerance int `form:"tolerance" json:"tolerance" xml:"tolerance"`
 }
 
--- a/gen/http/upstreams/server/types.go
+++ b/gen/http/upstreams/server/types.go
@@ -20,23 +20,23 @@
 	// Model or service name
 	Service *string `form:"service,omitempty" json:"service,omitempty" xml:"service,omitempty"`
 	Kind    *string `form:"kind,omitempty" json:"kind,omitempty" xml:"kind,omitempty"`
-	// Replica ID, stable over restarts
+	// Replica ID, stable across restarts
 	Replica *string `form:"replica,omitempty" json:"replica,omitempty" xml:"replica,omitempty"`
-	// Grows with each start of the replica
+	// Increases with each start of the replica
 	Incarnation *uint64 `form:"incarnation,omitempty" json:"incarnation,omitempty" xml:"incarnation,omitempty"`
-	// Grows with each announcement of an incarnation
+	// Increases with each announcement of an incarnation
 	Sequence *uint64 `form:"sequence,omitempty" json:"sequence,omitempty" xml:"sequence,omitempty"`
-	// Where it serves, IP and port
+	// Address at which it serves, IP and port
 	Address *string             `form:"address,omitempty" json:"address,omitempty" xml:"address,omitempty"`
 	Place   *string             `form:"place,omitempty" json:"place,omitempty" xml:"place,omitempty"`
 	VM      *string             `form:"vm,omitempty" json:"vm,omitempty" xml:"vm,omitempty"`
 	Models  []*ModelRequestBody `form:"models,omitempty" json:"models,omitempty" xml:"models,omitempty"`
-	// Requests it runs at once
+	// Number of requests that it can run concurrently
 	Slots   *int  `form:"slots,omitempty" json:"slots,omitempty" xml:"slots,omitempty"`
 	Running *int  `form:"running,omitempty" json:"running,omitempty" xml:"running,omitempty"`
 	Queued  *int  `form:"queued,omitempty" json:"queued,omitempty" xml:"queued,omitempty"`
 	Ready   *bool `form:"ready,omitempty" json:"ready,omitempty" xml:"ready,omitempty"`
-	// Sticky for the incarnation
+	// Whether it is leaving the fleet; stays true for the rest of the incarnation
 	Leaving       *bool `form:"leaving,omitempty" json:"leaving,omitempty" xml:"leaving,omitempty"`
 	ChecksFencing *bool `form:"checks_fencing,omitempty" json:"checks_fencing,omitempty" xml:"checks_fencing,omitempty"`
 	CanResume     *bool `form:"can_resume,omitempty" json:"can_resume,omitempty" xml:"can_resume,omitempty"`
@@ -56,7 +56,7 @@
 // AnnounceResponseBody is the type of the "upstreams" service "announce"
 // endpoint HTTP response body.
 type AnnounceResponseBody struct {
-	// When to announce again, in milliseconds
+	// Time until the next announcement, in milliseconds
 	IntervalMs int64 `form:"interval_ms" json:"interval_ms" xml:"interval_ms"`
 }
 
@@ -68,28 +68,28 @@
 type UpstreamStatusResponse struct {
 	// ready, suspect, probing, leaving or gone
 	State string `form:"state" json:"state" xml:"state"`
-	// Requests of this gate that run there
+	// Requests of this gate that are running on the replica
 	InFlight int `form:"in_flight" json:"in_flight" xml:"in_flight"`
 	// Model or service name
 	Service string `form:"service" json:"service" xml:"service"`
 	Kind    string `form:"kind" json:"kind" xml:"kind"`
-	// Replica ID, stable over restarts
+	// Replica ID, stable across restarts
 	Replica string `form:"replica" json:"replica" xml:"replica"`
-	// Grows with each start of the replica
+	// Increases with each start of the replica
 	Incarnation uint64 `form:"incarnation" json:"incarnation" xml:"incarnation"`
-	// Grows with each announcement of an incarnation
+	// Increases with each announcement of an incarnation
 	Sequence uint64 `form:"sequence" json:"sequence" xml:"sequence"`
-	// Where it serves, IP and port
+	// Address at which it serves, IP and port
 	Address string           `form:"address" json:"address" xml:"address"`
 	Place   string           `form:"place" json:"place" xml:"place"`
 	VM      *string          `form:"vm,omitempty" json:"vm,omitempty" xml:"vm,omitempty"`
 	Models  []*ModelResponse `form:"models,omitempty" json:"models,omitempty" xml:"models,omitempty"`
-	// Requests it runs at once
+	// Number of requests that it can run concurrently
 	Slots   *int  `form:"slots,omitempty" json:"slots,omitempty" xml:"slots,omitempty"`
 	Running *int  `form:"running,omitempty" json:"running,omitempty" xml:"running,omitempty"`
 	Queued  *int  `form:"queued,omitempty" json:"queued,omitempty" xml:"queued,omitempty"`
 	Ready   *bool `form:"ready,omitempty" json:"ready,omitempty" xml:"ready,omitempty"`
-	// Sticky for the incarnation
+	// Whether it is leaving the fleet; stays true for the rest of the incarnation
 	Leaving       *bool `form:"leaving,omitempty" json:"leaving,omitempty" xml:"leaving,omitempty"`
 	ChecksFencing *bool `form:"checks_fencing,omitempty" json:"checks_fencing,omitempty" xml:"checks_fencing,omitempty"`
 	CanResume     *bool `form:"can_resume,omitempty" json:"can_resume,omitempty" xml:"can_resume,omitempty"`
@@ -111,11 +111,11 @@
 
 // CacheEventRequestBody is used to define fields on request body types.
 type CacheEventRequestBody struct {
-	// Consecutive; a gap voids what was believed of the replica's cache
+	// Consecutive; a gap invalidates what the gate recorded of the replica's cache
 	Sequence *uint64 `form:"sequence,omitempty" json:"sequence,omitempty" xml:"sequence,omitempty"`
 	// Hash of the prefix
 	Prefix *uint64 `form:"prefix,omitempty" json:"prefix,omitempty" xml:"prefix,omitempty"`
-	// False when it was evicted
+	// False if the prefix was evicted
 	Cached *bool `form:"cached,omitempty" json:"cached,omitempty" xml:"cached,omitempty"`
 }
 
--- a/gen/jobs/service.go
+++ b/gen/jobs/service.go
@@ -16,21 +16,21 @@
 
 // Batch jobs of a team.
 type Service interface {
-	// Create a job, or find the one with the same key.
+	// Create a job, or return the existing one with the same key.
 	Create(context.Context, *CreatePayload) (res *JobStatus, err error)
 	// List the team's jobs.
 	List(context.Context, *ListPayload) (res []*JobStatus, err error)
-	// Add a part: NDJSON lines of {custom_id, url, body}. The whole part is
-	// accepted or none of it.
+	// Add a part: NDJSON lines of {custom_id, url, body}. A part is accepted or
+	// rejected as a whole.
 	AddPart(context.Context, *AddPartPayload, io.ReadCloser) (res *AddPartResult, err error)
-	// Seal the job: it has so many parts and no more.
+	// Seal the job: set its number of parts and accept no further ones.
 	Seal(context.Context, *SealPayload) (res *JobStatus, err error)
 	// Status implements status.
 	Status(context.Context, *StatusPayload) (res *JobStatus, err error)
 	// Cancel implements cancel.
 	Cancel(context.Context, *CancelPayload) (res *JobStatus, err error)
-	// Read results in item order as NDJSON. Next-From names the first item that is
-	// not yet in the answer.
+	// Read results in item order as NDJSON. The Next-From header is the first item
+	// that is not in the answer.
 
 	// If body implements [io.WriterTo], that implementation will be used instead.
 	// Consider [goa.design/goa/v3/pkg.SkipResponseWriter] to adapt existing
@@ -65,7 +65,7 @@
 	Token *string
 	// Job ID
 	ID string
-	// Part number from 0; a resend with it is accepted once
+	// Part number, counted from 0; a part that is sent repeatedly is accepted once
 	Part int
 }
 
@@ -85,11 +85,11 @@
 // CreatePayload is the payload type of the jobs service create method.
 type CreatePayload struct {
 	Token *string
-	// The caller's own key; a resend with it finds the same job
+	// The caller's own key; a repeated request with this key returns the same job
 	JobKey string
-	// Model or service; the team's own when empty
+	// Model or service; empty means the team's own
 	Service *string
-	// When the job is due, RFC 3339; the team's default when empty
+	// When the job is due, RFC 3339; empty means the team's default
 	Deadline *string
 	// Run each item at most once
 	NonIdempotent *bool
@@ -111,17 +111,17 @@
 	Items int64
 	// Items with a result
 	Done int64
-	// Items that ended without one
+	// Items that ended without a result
 	Failed int64
-	// Items that the cancel ended
+	// Items ended by cancelling the job
 	Cancelled int64
 	// Parts accepted
 	Parts int
-	// Whether items run at most once
+	// Whether each item runs at most once
 	NonIdempotent bool
-	// When the last item ended, RFC 3339; empty until then
+	// When the last item ended, RFC 3339; empty before that
 	FinishedAt *string
-	// Until when the results stay readable, RFC 3339; empty until then
+	// When the results expire, RFC 3339; empty until the job has ended
 	ResultsUntil *string
 }
 
@@ -135,9 +135,9 @@
 	Token *string
 	// Job ID
 	ID string
-	// First item
+	// First item to return
 	From int64
-	// Most items to return
+	// Maximum number of items to return
 	Limit int
 }
 
@@ -145,7 +145,7 @@
 type ResultsResult struct {
 	// Resume from this item
 	Next int64
-	// Whether the answer reaches the end of an ended job
+	// Whether the job has ended and the answer includes its last result
 	Complete bool
 }
 
--- a/gen/members/service.go
+++ b/gen/members/service.go
@@ -15,8 +15,8 @@
 type Service interface {
 	// List implements list.
 	List(context.Context) (res []*Member, err error)
-	// Replace a keeper whose disk was lost by the blank one that now runs on its
-	// VM.
+	// Replace a keeper that lost its disk by the new, empty keeper that runs on
+	// the same VM.
 	Replace(context.Context, *ReplacePayload) (err error)
 }
 
@@ -38,13 +38,13 @@
 
 type GroupStatus struct {
 	Group uint32
-	// VM of the leader; empty when there is none
+	// VM of the leader; empty if there is none
 	Leader   string
 	Voters   []string
 	Learners []string
 	// Index of the last committed entry
 	Commit uint64
-	// Further losses that the group survives now
+	// Number of further member losses that the group survives now
 	Tolerance int
 }
 
@@ -55,7 +55,7 @@
 	Roles  []string
 	// Address for callers, IP and port
 	Callers *string
-	// Address for the system's own processes, IP and port
+	// Address for traffic between slateway's own processes, IP and port
 	Peers string
 	// alive, suspect, draining, left or lost
 	State       string
--- a/gen/upstreams/service.go
+++ b/gen/upstreams/service.go
@@ -11,7 +11,7 @@
 	"context"
 )
 
-// Announcements of upstreams.
+// Announcements and cache events from upstreams, and the list of replicas.
 type Service interface {
 	// Announce implements announce.
 	Announce(context.Context, *Announcement) (res *AnnounceResult, err error)
@@ -39,7 +39,7 @@
 
 // AnnounceResult is the result type of the upstreams service announce method.
 type AnnounceResult struct {
-	// When to announce again, in milliseconds
+	// Time until the next announcement, in milliseconds
 	IntervalMs int64
 }
 
@@ -48,23 +48,23 @@
 	// Model or service name
 	Service string
 	Kind    string
-	// Replica ID, stable over restarts
+	// Replica ID, stable across restarts
 	Replica string
-	// Grows with each start of the replica
+	// Increases with each start of the replica
 	Incarnation uint64
-	// Grows with each announcement of an incarnation
+	// Increases with each announcement of an incarnation
 	Sequence uint64
-	// Where it serves, IP and port
+	// Address at which it serves, IP and port
 	Address string
 	Place   string
 	VM      *string
 	Models  []*Model
-	// Requests it runs at once
+	// Number of requests that it can run concurrently
 	Slots   *int
 	Running *int
 	Queued  *int
 	Ready   *bool
-	// Sticky for the incarnation
+	// Whether it is leaving the fleet; stays true for the rest of the incarnation
 	Leaving       *bool
 	ChecksFencing *bool
 	CanResume     *bool
@@ -73,11 +73,11 @@
 }
 
 type CacheEvent struct {
-	// Consecutive; a gap voids what was believed of the replica's cache
+	// Consecutive; a gap invalidates what the gate recorded of the replica's cache
 	Sequence uint64
 	// Hash of the prefix
 	Prefix uint64
-	// False when it was evicted
+	// False if the prefix was evicted
 	Cached bool
 }
 
@@ -98,28 +98,28 @@
 type UpstreamStatus struct {
 	// ready, suspect, probing, leaving or gone
 	State string
-	// Requests of this gate that run there
+	// Requests of this gate that are running on the replica
 	InFlight int
 	// Model or service name
 	Service string
 	Kind    string
-	// Replica ID, stable over restarts
+	// Replica ID, stable across restarts
 	Replica string
-	// Grows with each start of the replica
+	// Increases with each start of the replica
 	Incarnation uint64
-	// Grows with each announcement of an incarnation
+	// Increases with each announcement of an incarnation
 	Sequence uint64
-	// Where it serves, IP and port
+	// Address at which it serves, IP and port
 	Address string
 	Place   string
 	VM      *string
 	Models  []*Model
-	// Requests it runs at once
+	// Number of requests that it can run concurrently
 	Slots   *int
 	Running *int
 	Queued  *int
 	Ready   *bool
-	// Sticky for the incarnation
+	// Whether it is leaving the fleet; stays true for the rest of the incarnation
 	Leaving       *bool
 	ChecksFencing *bool
 	CanResume     *bool
--- a/internal/archtest/doc.go
+++ b/internal/archtest/doc.go
@@ -1,2 +1,2 @@
-// Package archtest checks the layout rules of the code base; it has only tests.
+// Package archtest checks the architecture rules of the code base. It contains only tests.
 package archtest
--- a/internal/archtest/imports_test.go
+++ b/internal/archtest/imports_test.go
@@ -11,18 +11,18 @@
 	"testing"
 )
 
-// decisionPackages hold deterministic aggregates: no clock, socket, file or
-// random source of their own, so that a recorded trace replays to one outcome.
+// decisionPackages are deterministic: they use no clock, socket, file or random
+// source of their own, so that replaying a recorded trace gives the same result.
 var decisionPackages = []string{"quorum", "team", "job", "claim", "upstream", "route", "member", "directory", "order", "tenure", "routes", "roster", "limit"}
 
-// forbiddenCalls read the clock or the shared random source.
+// forbiddenCalls read the clock, wait, or use the global random source.
 var forbiddenCalls = []string{
 	"time.Now", "time.Since", "time.Until", "time.After", "time.AfterFunc", "time.Sleep", "time.NewTimer", "time.NewTicker",
 	"rand.Int", "rand.IntN", "rand.Intn", "rand.Float64", "rand.Perm", "rand.Shuffle", "uuid.New", "uuid.NewString",
 }
 
-// forbidden are the packages that would bring I/O or nondeterminism in.
-var forbidden = []string{"net", "net/http", "os", "io/fs", "crypto/rand", "sync", "syscall", "log"}
+// forbiddenImports are packages for I/O, synchronization or other nondeterminism.
+var forbiddenImports = []string{"net", "net/http", "os", "io/fs", "crypto/rand", "sync", "syscall", "log"}
 
 func TestDecisionPackagesDoNoIO(t *testing.T) {
 	for _, name := range decisionPackages {
@@ -49,14 +49,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if slices.Contains(forbidden, path) {
-			t.Errorf("%s imports %s: a decision package takes time, messages and randomness as input", file, path)
+		if slices.Contains(forbiddenImports, path) {
+			t.Errorf("%s imports %s: a decision package must receive time, messages and randomness as input", file, path)
 		}
 	}
 	ast.Inspect(tree, func(node ast.Node) bool {
 		switch node := node.(type) {
 		case *ast.GoStmt:
-			t.Errorf("%s starts a goroutine: a decision package is driven by its shell", file)
+			t.Errorf("%s starts a goroutine: a decision package must be driven by its caller", file)
 		case *ast.SelectorExpr:
 			checkSelector(t, file, node)
 		}
@@ -68,6 +68,6 @@
 	t.Helper()
 	owner, ok := selector.X.(*ast.Ident)
 	if ok && slices.Contains(forbiddenCalls, owner.Name+"."+selector.Sel.Name) {
-		t.Errorf("%s uses %s.%s: time and randomness are inputs", file, owner.Name, selector.Sel.Name)
+		t.Errorf("%s uses %s.%s: a decision package must receive time and randomness as input", file, owner.Name, selector.Sel.Name)
 	}
 }
--- a/internal/archtest/platform_test.go
+++ b/internal/archtest/platform_test.go
@@ -8,11 +8,12 @@
 	"testing"
 )
 
-// platformImport is the adapter's package; only main packages wire it in.
+// platformImport is the import path of the platform adapter, which only main packages
+// may import.
 const platformImport = `"slateway.example/slateway/platform`
 
 // platformNames are calls, headers and fields of the users' platform. Each is
-// put together from two parts, so that this file does not hold it.
+// concatenated from two parts, so that this file does not contain it.
 var platformNames = []string{
 	"Slateway-" + "Token-Usage", "Slateway-" + "Prompt-Prefix", "Slateway-" + "Model-Name", "Slateway-" + "Server-Load",
 	"Slateway-" + "Not-Executed", "Slateway-" + "Expected-Instance", "Slateway-" + "Response-Signature",
@@ -21,9 +22,9 @@
 	"traffic_" + "split", "completion_" + "target_ms", "max_queued_" + "tokens", "SLATEWAY_" + "NODE_FILE",
 }
 
-// A newcomer reads the product without the platform's words, and the platform's
-// next version changes one folder: nothing outside it names a call, header or
-// field of the platform, or imports the adapter but for the main packages.
+// Guards against platform names outside the adapter, so that a new version of the
+// platform changes only the platform folder. No file outside it may contain a call,
+// header or field of the platform, and only main packages may import the adapter.
 func TestOnlyTheAdapterKnowsThePlatform(t *testing.T) {
 	root := filepath.Join("..", "..")
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -58,11 +59,11 @@
 	}
 	for _, name := range platformNames {
 		if strings.Contains(string(text), name) {
-			t.Errorf("%s names %q of the platform: decode it in platform/", inner, name)
+			t.Errorf("%s contains the platform name %q: move its handling to platform/", inner, name)
 		}
 	}
 	wiring := strings.HasPrefix(inner, "cmd"+string(filepath.Separator))
 	if !wiring && strings.Contains(string(text), platformImport) && !strings.HasSuffix(inner, "archtest/platform_test.go") {
-		t.Errorf("%s imports the adapter: only main packages wire it in", inner)
+		t.Errorf("%s imports the platform adapter: only main packages may import it", inner)
 	}
 }
