--- a/cmd/experiment/fault.go
+++ b/cmd/experiment/fault.go
@@ -10,16 +10,16 @@
 	"slateway.example/slateway/standin/link"
 )
 
-// fault is what goes wrong during a run, and how long after its start.
+// fault is a failure that is injected during a run.
 type fault struct {
-	name  string
-	bring func(ctx context.Context, s *site) error
+	name   string
+	inject func(ctx context.Context, s *site) error
 }
 
-// faultLength is how long a fault that ends by itself lasts.
-const faultLength = 5 * time.Second
+// faultDuration is the duration of a temporary fault.
+const faultDuration = 5 * time.Second
 
-// Faults by name; each happens at a third of the run.
+// faults lists all faults; each is injected after a third of the run.
 var faults = []fault{
 	{"none", func(context.Context, *site) error { return nil }},
 	{"replica-killed", func(_ context.Context, s *site) error {
@@ -30,7 +30,7 @@
 		if err := s.engines[0].Freeze(); err != nil {
 			return err
 		}
-		pause(ctx, faultLength)
+		sleep(ctx, faultDuration)
 		return s.engines[0].Thaw()
 	}},
 	{"replica-leaving", func(_ context.Context, s *site) error { return s.engines[0].Terminate() }},
@@ -38,14 +38,14 @@
 		s.VMs[len(s.VMs)-1].Kill()
 		return nil
 	}},
-	{"lossy-link", lossyLink},
+	{"lossy-link", degradeLink},
 	{"silent-connections", func(_ context.Context, s *site) error {
-		s.engines[0].Near.SilenceOpen()
-		s.engines[0].Far.SilenceOpen()
+		s.engines[0].LocalLink.SilenceOpen()
+		s.engines[0].RemoteLink.SilenceOpen()
 		return nil
 	}},
-	{"poison", poison},
-	{"burst", func(context.Context, *site) error { return nil }}, // in the arrivals
+	{"poison", sendPoisonRequests},
+	{"burst", func(context.Context, *site) error { return nil }}, // offerLoad adds the burst to the arrivals
 }
 
 func findFault(name string) (fault, error) {
@@ -54,10 +54,10 @@
 			return known, nil
 		}
 	}
-	return fault{}, fmt.Errorf("no fault %q", name)
+	return fault{}, fmt.Errorf("unknown fault %q", name)
 }
 
-func pause(ctx context.Context, length time.Duration) {
+func sleep(ctx context.Context, length time.Duration) {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
 	select {
@@ -66,35 +66,35 @@
 	}
 }
 
-// lossyLink gives the links to one place 1% loss and four times the delay.
-func lossyLink(ctx context.Context, s *site) error {
+// degradeLink sets the links to one place to 1% loss and four times the delay.
+func degradeLink(ctx context.Context, s *site) error {
 	delay := s.workload.linkDelay
 	for _, engine := range s.engines {
 		if engine.Place == s.workload.places[0] {
-			engine.Far.Set(link.Condition{Delay: 4 * delay, Loss: 0.01, Retransmit: 200 * time.Millisecond})
+			engine.RemoteLink.Set(link.Condition{Delay: 4 * delay, Loss: 0.01, Retransmit: 200 * time.Millisecond})
 		}
 	}
-	pause(ctx, faultLength)
+	sleep(ctx, faultDuration)
 	for _, engine := range s.engines {
-		engine.Far.Set(link.Condition{Delay: delay})
+		engine.RemoteLink.Set(link.Condition{Delay: delay})
 	}
 	return nil
 }
 
-// poisonResends is how often the caller of a poison request sends it.
-const poisonResends = 50
+// poisonRequests is how many times the poison request is sent in all.
+const poisonRequests = 50
 
-// poison sends a request that crashes each engine that runs it, over and over,
-// through one gate after the other, two at a time.
-func poison(ctx context.Context, s *site) error {
+// sendPoisonRequests repeatedly sends a request that crashes every engine that runs
+// it, from two senders that take the gates in turn.
+func sendPoisonRequests(ctx context.Context, s *site) error {
 	client := load.NewClient(s.Callers(), teamToken, nil)
 	request := load.Request{Model: modelName, Prompt: "crash-upstream", MaxTokens: 4}
 	var senders sync.WaitGroup
 	for range 2 {
 		senders.Go(func() {
-			for range poisonResends / 2 {
+			for range poisonRequests / 2 {
 				client.Stream(ctx, time.Now(), &request)
-				pause(ctx, refusalPause)
+				sleep(ctx, resendDelay)
 			}
 		})
 	}
@@ -102,5 +102,5 @@
 	return nil
 }
 
-// refusalPause is how long an impatient caller waits before a resend.
-const refusalPause = 20 * time.Millisecond
+// resendDelay is the delay before a sender repeats the poison request.
+const resendDelay = 20 * time.Millisecond
--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -1,8 +1,8 @@
 // Command experiment measures slateway on one machine: it starts whole fleets
-// of slateway's processes and stand-in upstreams on loopback addresses, offers
-// them load, brings about faults and reports what callers saw.
+// of slateway processes and stand-in upstreams on loopback addresses, generates
+// load, injects faults and reports the results as callers see them.
 //
-// It is a tool for developers, and starts processes; the daemon does not.
+// It is a tool for developers. It starts processes, which the daemon never does.
 package main
 
 import (
--- a/cmd/experiment/mode.go
+++ b/cmd/experiment/mode.go
@@ -12,46 +12,45 @@
 	"slateway.example/slateway/internal/load"
 )
 
-// mode is a way in which batch work goes beside online requests.
+// mode is a way of running batch work next to online requests.
 type mode string
 
-// Modes.
 const (
 	modeNone         mode = "no-batch"
-	modeUncontrolled mode = "uncontrolled" // batch items sent as online requests, half as many again as there are slots
-	modeFixed        mode = "fixed-share"  // batch items sent as online requests, a quarter of the slots
-	modeOurs         mode = "slateway"     // a batch job under the team's policy
+	modeUncontrolled mode = "uncontrolled" // batch items sent as online requests, 1.5 per slot
+	modeFixed        mode = "fixed-share"  // batch items sent as online requests on fixedShare of the slots
+	modeSlateway     mode = "slateway"     // a batch job under the team's policy
 )
 
-var modes = []mode{modeNone, modeUncontrolled, modeFixed, modeOurs}
+var modes = []mode{modeNone, modeUncontrolled, modeFixed, modeSlateway}
 
-// fixedShare is the share of the slots that modeFixed gives to batch.
+// fixedShare is the share of the slots that modeFixed uses for batch.
 const fixedShare = 0.25
 
-// maxItems bounds the batch items of one run.
+// maxItems is the maximum number of batch items in a run.
 const maxItems = 50_000
 
-// batchCount tells how many batch items have been answered so far.
-type batchCount func(ctx context.Context) (int64, error)
+// itemCounter returns the number of batch items answered so far.
+type itemCounter func(ctx context.Context) (int64, error)
 
-// startBatch starts the batch work of a mode until ctx ends.
-func (s *site) startBatch(ctx context.Context, m mode, items []load.Request) (batchCount, error) {
+// startBatch starts the batch work of a mode; it runs until ctx ends.
+func (s *site) startBatch(ctx context.Context, m mode, items []load.Request) (itemCounter, error) {
 	slots := float64(s.workload.totalSlots())
 	switch m {
 	case modeNone:
 		return func(context.Context) (int64, error) { return 0, nil }, nil
 	case modeUncontrolled:
-		return s.batchAsOnline(ctx, items, int(1.5*slots)), nil
+		return s.sendItemsAsOnline(ctx, items, int(1.5*slots)), nil
 	case modeFixed:
-		return s.batchAsOnline(ctx, items, int(fixedShare*slots)), nil
-	case modeOurs:
+		return s.sendItemsAsOnline(ctx, items, int(fixedShare*slots)), nil
+	case modeSlateway:
 		return s.submitJob(ctx, items)
 	}
-	return nil, fmt.Errorf("no mode %q", m)
+	return nil, fmt.Errorf("unknown mode %q", m)
 }
 
-// batchAsOnline keeps width items open, each as an online request.
-func (s *site) batchAsOnline(ctx context.Context, items []load.Request, width int) batchCount {
+// sendItemsAsOnline sends items as online requests, width at a time.
+func (s *site) sendItemsAsOnline(ctx context.Context, items []load.Request, width int) itemCounter {
 	client := load.NewClient(s.Callers(), teamToken, nil)
 	counted := load.NewRecorder()
 	go load.ClosedLoop(ctx, items, width, len(items), func(ctx context.Context, at time.Time, item *load.Request) load.Result {
@@ -80,8 +79,9 @@
 	Content string `json:"content"`
 }
 
-// submitJob submits all items as one job whose deadline is far off.
-func (s *site) submitJob(ctx context.Context, items []load.Request) (batchCount, error) {
+// submitJob submits all items as one job with a deadline of 12 hours, far beyond
+// the run.
+func (s *site) submitJob(ctx context.Context, items []load.Request) (itemCounter, error) {
 	name := filepath.Join(s.Folder, "items.ndjson")
 	if err := writeItems(name, items); err != nil {
 		return nil, err
@@ -96,10 +96,10 @@
 	if err := json.Unmarshal([]byte(out), &job); err != nil {
 		return nil, err
 	}
-	return func(ctx context.Context) (int64, error) { return s.itemsDone(ctx, job.ID) }, nil
+	return func(ctx context.Context) (int64, error) { return s.readItemsDone(ctx, job.ID) }, nil
 }
 
-func (s *site) itemsDone(ctx context.Context, id string) (int64, error) {
+func (s *site) readItemsDone(ctx context.Context, id string) (int64, error) {
 	out, _, err := s.Ctl(ctx, "--json", "--token", teamToken, "job", "status", id)
 	if err != nil {
 		return 0, err
@@ -135,16 +135,16 @@
 	return nil
 }
 
-// capacity measures how many requests of the mix the engines answer a second
-// when all their slots are kept busy, without gates.
-func (s *site) capacity(ctx context.Context, seed uint64, length time.Duration) float64 {
+// measureCapacity returns how many requests of the mix per second the engines
+// answer when all their slots are busy and no gate is in between.
+func (s *site) measureCapacity(ctx context.Context, seed uint64, length time.Duration) float64 {
 	mix := s.workload.mix()
 	requests := mix.Requests(rand.New(rand.NewPCG(seed, 99)), "capacity", maxItems)
 	ctx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
 	client := load.NewClient(s.engineAddresses(), "", nil)
 	width := s.workload.totalSlots() * 5 / 4
-	return rate(load.ClosedLoop(ctx, requests, width, maxItems, client.Stream).Summary())
+	return answerRate(load.ClosedLoop(ctx, requests, width, maxItems, client.Stream).Summary())
 }
 
-func rate(summary load.Summary) float64 { return float64(summary.Answered) / summary.Seconds }
+func answerRate(summary load.Summary) float64 { return float64(summary.Answered) / summary.Seconds }
--- a/cmd/experiment/overhead.go
+++ b/cmd/experiment/overhead.go
@@ -15,20 +15,20 @@
 	"slateway.example/slateway/test/harness"
 )
 
-// streamsMeasured are the numbers of concurrent streams.
+// streamsMeasured lists the numbers of concurrent streams to measure.
 var streamsMeasured = []int{1, 32, 256}
 
 func overheadCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "overhead",
-		Usage: "what one gate adds to a stand-in engine that is called directly",
+		Usage: "measure the latency and CPU time that one gate adds to direct calls of a stand-in engine",
 		Flags: []cli.Flag{
-			&cli.DurationFlag{Name: "length", Value: 8 * time.Second, Usage: "time of each measurement"},
-			&cli.IntFlag{Name: "rounds", Value: 2, Usage: "repetitions; direct and through the gate take turns"},
-			&cli.StringFlag{Name: "folder", Usage: "`FOLDER` for settings and logs; a temporary one if not given"},
-			&cli.StringFlag{Name: "out", Usage: "`FILE` for the figures in JSON"},
+			&cli.DurationFlag{Name: "length", Value: 8 * time.Second, Usage: "duration of each measurement"},
+			&cli.IntFlag{Name: "rounds", Value: 2, Usage: "repetitions; calls to the engine and through the gate alternate"},
+			&cli.StringFlag{Name: "folder", Usage: "`FOLDER` for settings and logs; default: a temporary folder"},
+			&cli.StringFlag{Name: "out", Usage: "JSON `FILE` for the results"},
 		},
-		Action: overhead,
+		Action: measureOverhead,
 	}
 }
 
@@ -42,8 +42,8 @@
 	GateCPU   float64      `json:"gate_cpu_ms_per_1000_tokens"`
 }
 
-func overhead(ctx context.Context, command *cli.Command) error {
-	folder, programs, err := workFolder(command.String("folder"))
+func measureOverhead(ctx context.Context, command *cli.Command) error {
+	folder, programs, err := prepareFolder(command.String("folder"))
 	if err != nil {
 		return err
 	}
@@ -57,7 +57,7 @@
 	for round := range command.Int("rounds") {
 		for _, streams := range streamsMeasured {
 			for _, via := range []string{"engine", "gate"} {
-				one, err := s.sample(ctx, streams, round, via, length)
+				one, err := s.takeSample(ctx, streams, round, via, length)
 				if err != nil {
 					return err
 				}
@@ -76,22 +76,22 @@
 	return nil
 }
 
-// overheadWorkload is one VM, both gate and keeper, and one engine that never
-// lets a request wait.
+// overheadWorkload returns a fleet of one VM, both gate and keeper, and one engine
+// with more slots than concurrent streams, so that no request is queued.
 func overheadWorkload() *workload {
 	return &workload{
 		name:        "overhead",
-		places:      places("local", "local"),
+		places:      newPlaces("local", "local"),
 		gates:       1,
 		engine:      "wordroom",
 		engines:     1,
 		slots:       1024,
-		pace:        evenPace,
+		latency:     uniformLatency,
 		batchPolicy: "tail",
 	}
 }
 
-func (s *site) sample(ctx context.Context, streams, round int, via string, length time.Duration) (sample, error) {
+func (s *site) takeSample(ctx context.Context, streams, round int, via string, length time.Duration) (sample, error) {
 	target := s.engines[0].Address
 	if via == "gate" {
 		target = s.VMs[0].Callers
@@ -134,11 +134,11 @@
 	}
 	table.Flush()
 	fmt.Println()
-	compare(samples)
+	printDifferences(samples)
 }
 
-// compare prints what the gate added in each pair of measurements.
-func compare(samples []sample) {
+// printDifferences prints what the gate added in each pair of direct and gate samples.
+func printDifferences(samples []sample) {
 	for i := 0; i+1 < len(samples); i += 2 {
 		direct, gate := samples[i], samples[i+1]
 		fmt.Printf("%d streams, round %d: gate adds %.2f ms median, %.2f ms p99 to the first token; tokens/s ratio %.3f\n",
--- a/cmd/experiment/plot.go
+++ b/cmd/experiment/plot.go
@@ -10,19 +10,19 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of the plot.
 const (
 	plotWidth  = 22 * vg.Centimeter
 	plotHeight = 14 * vg.Centimeter
 )
 
-// tailNines is how far the curves go: 3 for 99.9%.
+// tailNines is the number of nines of the highest quantile plotted: 3 for 99.9%.
 const tailNines = 3
 
-// curveSteps are the points of a curve for each factor of ten.
+// curveSteps is the number of points of a curve per factor of ten.
 const curveSteps = 20
 
-// curveQuantiles are evenly spaced on the scale on which 90, 99 and 99.9 are.
+// curveQuantiles returns the quantiles of a curve in percent, spaced so that 90, 99
+// and 99.9 are equally far apart.
 func curveQuantiles() []float64 {
 	quantiles := make([]float64, 0, tailNines*curveSteps+1)
 	for step := range tailNines*curveSteps + 1 {
@@ -31,7 +31,7 @@
 	return quantiles
 }
 
-// plot draws the first-token time of each cell over its quantiles.
+// plot draws the time to the first token of each cell over its quantiles.
 func (r *report) plot(name string) error {
 	drawing := plot.New()
 	drawing.Title.Text = fmt.Sprintf("Time to first token, %s, online at %.0f%% of capacity, seed %d", r.Workload, 100*r.Share, r.Seed)
--- a/cmd/experiment/report.go
+++ b/cmd/experiment/report.go
@@ -13,18 +13,18 @@
 	"slateway.example/slateway/internal/load"
 )
 
-// cell is what one mode under one fault came to.
+// cell is the result of one mode under one fault.
 type cell struct {
 	Mode        mode             `json:"mode"`
 	Fault       string           `json:"fault"`
 	Online      load.Summary     `json:"online"`
-	P99Ratio    float64          `json:"p99_ratio"` // first token, to no batch under the same fault
+	P99Ratio    float64          `json:"p99_ratio"` // of the first token, relative to no-batch under the same fault
 	BatchItems  float64          `json:"batch_items"`
 	BatchRate   float64          `json:"batch_items_per_second"`
-	IdleShare   float64          `json:"idle_share"` // of the capacity that online left over
+	IdleShare   float64          `json:"idle_share"` // batch rate relative to the capacity that online requests left idle
 	LostEngines int              `json:"lost_engines"`
-	MachineLoad string           `json:"machine_load"` // load average over a minute, at the end
-	Counters    map[string]int64 `json:"counters"`     // of all gates that lived to the end
+	MachineLoad string           `json:"machine_load"` // one-minute load average at the end
+	Counters    map[string]int64 `json:"counters"`     // increase, summed over the VMs that answered at the end
 	Curve       []float64        `json:"first_token_curve_ms"`
 }
 
@@ -41,21 +41,21 @@
 		Counters:    counters,
 		Curve:       recorder.FirstTokenCurve(curveQuantiles()),
 	}
-	if idle := capacity - rate(online); idle > 0 {
+	if idle := capacity - answerRate(online); idle > 0 {
 		result.IdleShare = result.BatchRate / idle
 	}
 	return result
 }
 
-// machineLoad gives the machine's load average over the last minute: figures
-// from a machine that is busy otherwise say little.
+// machineLoad returns the machine's one-minute load average. Results from a machine
+// that runs other work are unreliable.
 func machineLoad() string {
 	content, _ := os.ReadFile("/proc/loadavg")
 	minute, _, _ := strings.Cut(string(content), " ")
 	return minute
 }
 
-// report is a whole experiment.
+// report is the result of an experiment.
 type report struct {
 	Command  string  `json:"command"`
 	Workload string  `json:"workload"`
@@ -68,7 +68,7 @@
 	Cells    []*cell `json:"cells"`
 }
 
-func (r *report) add(result *cell) {
+func (r *report) addCell(result *cell) {
 	r.Cells = append(r.Cells, result)
 	for _, other := range r.Cells {
 		if other.Fault == result.Fault && other.Mode == modeNone && other.Online.FirstToken.P99 > 0 {
@@ -77,8 +77,8 @@
 	}
 }
 
-// write prints one cell's reasons as soon as it is measured.
-func (r *report) write(out io.Writer, result *cell) {
+// printCell prints a cell's error reasons and the gates' refusal and retry counters.
+func (r *report) printCell(out io.Writer, result *cell) {
 	fmt.Fprintf(out, "%s under %s: %d of %d answered", result.Mode, result.Fault, result.Online.Answered, result.Online.Offered)
 	for _, reason := range slices.Sorted(maps.Keys(result.Online.Reasons)) {
 		fmt.Fprintf(out, ", %s %d", reason, result.Online.Reasons[reason])
@@ -95,7 +95,7 @@
 	}
 }
 
-func (r *report) table(out io.Writer) {
+func (r *report) printTable(out io.Writer) {
 	fmt.Fprintf(out, "\n%s, policy %s, %d gates, seed %d, capacity %.0f requests/s, online %.0f%% of it for %s\n",
 		r.Workload, r.Policy, r.Gates, r.Seed, r.Capacity, 100*r.Share, r.Length)
 	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
--- a/cmd/experiment/run.go
+++ b/cmd/experiment/run.go
@@ -16,27 +16,27 @@
 	"slateway.example/slateway/test/harness"
 )
 
-// Bounds of one cell of an experiment.
+// Limits of one cell of an experiment.
 const (
-	maxLength  = 2 * time.Minute
-	maxOpen    = 5000
-	answerTime = 30 * time.Second // wait for the last answers
+	maxLength     = 2 * time.Minute
+	maxOpen       = 5000
+	answerTimeout = 30 * time.Second // wait for outstanding answers
 )
 
 func runCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "run",
-		Usage: "online load beside batch work, in several modes and under faults",
+		Usage: "run online load next to batch work, in several modes and under faults",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "workload", Value: "guild", Usage: "guild or registry"},
-			&cli.StringFlag{Name: "policy", Usage: "batch policy of the team; the workload's own if not given"},
-			&cli.IntFlag{Name: "gates", Usage: "number of gates; the workload's own if not given"},
-			&cli.StringSliceFlag{Name: "mode", Value: []string{string(modeNone), string(modeUncontrolled), string(modeFixed), string(modeOurs)}, Usage: "`MODE`; repeatable"},
+			&cli.StringFlag{Name: "policy", Usage: "batch policy of the team; default: the workload's"},
+			&cli.IntFlag{Name: "gates", Usage: "number of gates; default: the workload's"},
+			&cli.StringSliceFlag{Name: "mode", Value: []string{string(modeNone), string(modeUncontrolled), string(modeFixed), string(modeSlateway)}, Usage: "`MODE`; repeatable"},
 			&cli.StringSliceFlag{Name: "fault", Value: []string{"none"}, Usage: "`FAULT`; repeatable"},
 			&cli.Float64Flag{Name: "share", Value: 0.4, Usage: "online load as a share of the capacity"},
-			&cli.DurationFlag{Name: "length", Value: 20 * time.Second, Usage: "time of each cell"},
+			&cli.DurationFlag{Name: "length", Value: 20 * time.Second, Usage: "duration of each cell"},
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of arrivals and requests"},
-			&cli.StringFlag{Name: "folder", Usage: "`FOLDER` for settings, logs and results; a temporary one if not given"},
+			&cli.StringFlag{Name: "folder", Usage: "`FOLDER` for settings, logs and results; default: a temporary folder"},
 			&cli.StringFlag{Name: "out", Value: "experiment", Usage: "`NAME` of NAME.json and NAME.svg"},
 		},
 		Action: run,
@@ -51,13 +51,13 @@
 	share    float64
 	length   time.Duration
 	seed     uint64
-	capacity float64 // requests a second without gates, measured once
+	capacity float64 // requests per second without gates, measured once
 }
 
 func run(ctx context.Context, command *cli.Command) error {
 	chosen, ok := workloads[command.String("workload")]
 	if !ok {
-		return fmt.Errorf("no workload %q", command.String("workload"))
+		return fmt.Errorf("unknown workload %q", command.String("workload"))
 	}
 	if policy := command.String("policy"); policy != "" {
 		chosen.batchPolicy = policy
@@ -67,9 +67,9 @@
 	}
 	length := command.Duration("length")
 	if length > maxLength {
-		return fmt.Errorf("--length %s is over %s", length, maxLength)
+		return fmt.Errorf("--length %s exceeds the maximum of %s", length, maxLength)
 	}
-	folder, programs, err := workFolder(command.String("folder"))
+	folder, programs, err := prepareFolder(command.String("folder"))
 	if err != nil {
 		return err
 	}
@@ -83,22 +83,22 @@
 	}
 	for _, faultName := range command.StringSlice("fault") {
 		for _, modeName := range command.StringSlice("mode") {
-			cell, err := e.cell(ctx, mode(modeName), faultName)
+			cell, err := e.runCell(ctx, mode(modeName), faultName)
 			if err != nil {
 				return fmt.Errorf("%s under %s: %w", modeName, faultName, err)
 			}
 			report.Capacity = e.capacity
-			report.add(cell)
-			report.write(os.Stdout, cell)
+			report.addCell(cell)
+			report.printCell(os.Stdout, cell)
 		}
 	}
-	report.table(os.Stdout)
+	report.printTable(os.Stdout)
 	return report.save(command.String("out"))
 }
 
-// cell runs one mode under one fault.
-func (e *experiment) cell(ctx context.Context, m mode, faultName string) (*cell, error) {
-	wrong, err := findFault(faultName)
+// runCell measures one mode under one fault on a fresh fleet.
+func (e *experiment) runCell(ctx context.Context, m mode, faultName string) (*cell, error) {
+	injected, err := findFault(faultName)
 	if err != nil {
 		return nil, err
 	}
@@ -108,13 +108,13 @@
 	}
 	defer s.Close()
 	if e.capacity == 0 {
-		e.capacity = s.capacity(ctx, e.seed, 5*time.Second)
+		e.capacity = s.measureCapacity(ctx, e.seed, 5*time.Second)
 	}
-	return e.measure(ctx, s, m, wrong)
+	return e.measure(ctx, s, m, injected)
 }
 
-func (e *experiment) measure(ctx context.Context, s *site, m mode, wrong fault) (*cell, error) {
-	ctx, cancel := context.WithTimeout(ctx, e.length+answerTime+readyTime)
+func (e *experiment) measure(ctx context.Context, s *site, m mode, injected fault) (*cell, error) {
+	ctx, cancel := context.WithTimeout(ctx, e.length+answerTimeout+startTimeout)
 	defer cancel()
 	mix := e.workload.mix()
 	items := mix.Requests(rand.New(rand.NewPCG(e.seed, 2)), "batch", maxItems)
@@ -124,7 +124,7 @@
 	if err != nil {
 		return nil, err
 	}
-	pause(ctx, warmUp)
+	sleep(ctx, warmUp)
 
 	before, err := done(ctx)
 	if err != nil {
@@ -133,10 +133,10 @@
 	countersBefore := s.Counters(ctx)
 	failed := make(chan error, 1)
 	go func() {
-		pause(ctx, e.length/3)
-		failed <- wrong.bring(ctx, s)
+		sleep(ctx, e.length/3)
+		failed <- injected.inject(ctx, s)
 	}()
-	recorder := e.offer(ctx, s, wrong.name)
+	recorder := e.offerLoad(ctx, s, injected.name)
 	after, err := done(ctx)
 	if err != nil {
 		return nil, err
@@ -149,14 +149,14 @@
 	for name := range counters {
 		counters[name] -= countersBefore[name]
 	}
-	return newCell(m, wrong.name, recorder, float64(after-before), counters, s.lostEngines(), e.capacity), nil
+	return newCell(m, injected.name, recorder, float64(after-before), counters, s.lostEngines(), e.capacity), nil
 }
 
-// warmUp lets batch work fill the idle slots before the measurement.
+// warmUp is the time for batch work to fill the idle slots before the measurement.
 const warmUp = 3 * time.Second
 
-// offer offers the online load and waits for its answers.
-func (e *experiment) offer(ctx context.Context, s *site, faultName string) *load.Recorder {
+// offerLoad sends the online load and waits for the answers.
+func (e *experiment) offerLoad(ctx context.Context, s *site, faultName string) *load.Recorder {
 	profile := load.Profile{Rate: e.share * e.capacity, Length: e.length}
 	if faultName == "burst" {
 		profile.Bursts = []load.Burst{{At: e.length / 3, For: 3 * time.Second, Factor: 5}}
@@ -167,7 +167,7 @@
 	client := load.NewClient(s.Callers(), teamToken, func(request *load.Request, text string) bool {
 		return text == engine.Answer(request.Prompt, request.MaxTokens)
 	})
-	offering, cancel := context.WithTimeout(ctx, e.length+answerTime)
+	offering, cancel := context.WithTimeout(ctx, e.length+answerTimeout)
 	defer cancel()
 	return load.OpenLoop(offering, arrivals, requests, maxOpen, client.Stream)
 }
--- a/cmd/experiment/site.go
+++ b/cmd/experiment/site.go
@@ -10,8 +10,8 @@
 	"slateway.example/slateway/test/harness"
 )
 
-// readyTime bounds the start of a fleet.
-const readyTime = 90 * time.Second
+// startTimeout limits the start of a fleet until it is ready.
+const startTimeout = 90 * time.Second
 
 // site is a running fleet of a workload.
 type site struct {
@@ -22,7 +22,8 @@
 }
 
 // startSite starts a workload's fleet in a new folder NAME-... in parent, and
-// returns once all gates see all replicas and the team is in force.
+// returns once the team's configuration is in force and all gates report all
+// replicas as ready.
 func startSite(ctx context.Context, programs harness.Programs, parent, name string, w *workload) (*site, error) {
 	folder, err := os.MkdirTemp(parent, name+"-")
 	if err != nil {
@@ -41,7 +42,7 @@
 }
 
 func (s *site) start(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	if err := s.Fleet.Start(); err != nil {
 		return err
@@ -67,7 +68,7 @@
 	return s.WaitReady(ctx, map[string]int{w.engine: w.engines, w.service: w.services})
 }
 
-// engineAddresses are the engines' own addresses, without links.
+// engineAddresses returns the engines' own addresses, which bypass the links.
 func (s *site) engineAddresses() []string {
 	addresses := make([]string, len(s.engines))
 	for i, engine := range s.engines {
@@ -76,7 +77,7 @@
 	return addresses
 }
 
-// lostEngines counts the engines that have ended.
+// lostEngines returns the number of engines that have exited.
 func (s *site) lostEngines() int {
 	lost := 0
 	for _, engine := range s.engines {
@@ -87,8 +88,9 @@
 	return lost
 }
 
-// workFolder makes the folder of a whole experiment, and builds the programs.
-func workFolder(name string) (string, harness.Programs, error) {
+// prepareFolder creates the folder of an experiment if no name is given, and builds
+// the programs into it.
+func prepareFolder(name string) (string, harness.Programs, error) {
 	folder := name
 	var err error
 	if folder == "" {
--- a/cmd/experiment/workload.go
+++ b/cmd/experiment/workload.go
@@ -8,26 +8,26 @@
 	"slateway.example/slateway/test/harness"
 )
 
-// workload is the fleet of one of the sites, and what its callers ask for.
+// workload describes a site's fleet and the requests of its callers.
 type workload struct {
 	name        string
 	places      []harness.Place
-	linkDelay   time.Duration // one way between places
+	linkDelay   time.Duration // one-way delay between places
 	gates       int
-	engine      string // service of the engines
+	engine      string // service name of the engines
 	engines     int
-	service     string // plain service
+	service     string // name of a plain service
 	services    int
-	slots       int // of an engine
-	pace        pace
+	slots       int // per engine
+	latency     engineLatency
 	batchPolicy string
 }
 
-// Workloads by name. Each replica is in the next place in turn.
+// workloads holds the workloads by name. Replicas are assigned to the places in turn.
 var workloads = map[string]workload{
 	"guild": {
 		name:        "guild",
-		places:      places("scot-central", "glas-a", "edin-b", "perth-c"),
+		places:      newPlaces("scot-central", "glas-a", "edin-b", "perth-c"),
 		linkDelay:   3 * time.Millisecond,
 		gates:       8,
 		engine:      "wordroom",
@@ -35,12 +35,12 @@
 		service:     "pagedesk",
 		services:    3,
 		slots:       8,
-		pace:        sitePace,
+		latency:     siteLatency,
 		batchPolicy: "throughput",
 	},
 	"registry": {
 		name:        "registry",
-		places:      places("tx-central", "austin-a", "austin-b", "round-rock"),
+		places:      newPlaces("tx-central", "austin-a", "austin-b", "round-rock"),
 		linkDelay:   4 * time.Millisecond,
 		gates:       8,
 		engine:      "register-llm",
@@ -48,12 +48,12 @@
 		service:     "plate-app",
 		services:    3,
 		slots:       8,
-		pace:        sitePace,
+		latency:     siteLatency,
 		batchPolicy: "tail",
 	},
 }
 
-func places(region string, names ...string) []harness.Place {
+func newPlaces(region string, names ...string) []harness.Place {
 	all := make([]harness.Place, len(names))
 	for i, name := range names {
 		all[i] = harness.Place{Name: name, Region: region}
@@ -61,66 +61,66 @@
 	return all
 }
 
-// keepers is the number of VMs that keep state.
-const keepers = 3
+// keeperCount is the number of VMs that are keepers.
+const keeperCount = 3
 
-// pace is how quick an engine is.
-type pace struct {
+// engineLatency describes how fast an engine answers.
+type engineLatency struct {
 	firstToken       time.Duration
 	firstTokenCached time.Duration
 	tokenEvery       time.Duration
 	tokenPerRunning  time.Duration
 }
 
-// sitePace is that of the sites: a first token takes a prefill, a quarter of
-// it for a cached prefix, and each further stream slows all tokens down.
-var sitePace = pace{
+// siteLatency models the engines of the sites: the first token takes a prefill, or a
+// quarter of it with a cached prefix, and each further stream delays all tokens.
+var siteLatency = engineLatency{
 	firstToken:       60 * time.Millisecond,
 	firstTokenCached: 15 * time.Millisecond,
 	tokenEvery:       10 * time.Millisecond,
 	tokenPerRunning:  500 * time.Microsecond,
 }
 
-// evenPace is the same for every request, so that differences come from
-// elsewhere.
-var evenPace = pace{
+// uniformLatency is the same for every request, so that measured differences do not
+// come from the engine.
+var uniformLatency = engineLatency{
 	firstToken:       15 * time.Millisecond,
 	firstTokenCached: 15 * time.Millisecond,
 	tokenEvery:       10 * time.Millisecond,
 }
 
-// mix is what both online callers and batch jobs ask for.
+// mix returns the request mix of both online callers and batch jobs.
 func (w *workload) mix() load.Mix {
 	return load.Mix{Model: modelName, Prefixes: 200, PrefixBytes: 64, MinTokens: 8, MaxTokens: 32}
 }
 
-// modelName is the model that all engines have.
+// modelName is the model that all engines serve.
 const modelName = "small"
 
-// totalSlots is the number of streams that all engines run at the same time.
+// totalSlots returns the number of streams that all engines can run concurrently.
 func (w *workload) totalSlots() int { return w.engines * w.slots }
 
 func (w *workload) engineFlags() []string {
 	return []string{
 		"--model", modelName + "@1",
 		"--slots", fmt.Sprint(w.slots),
-		"--first-token", w.pace.firstToken.String(),
-		"--first-token-cached", w.pace.firstTokenCached.String(),
-		"--token-every", w.pace.tokenEvery.String(),
-		"--token-per-running", w.pace.tokenPerRunning.String(),
+		"--first-token", w.latency.firstToken.String(),
+		"--first-token-cached", w.latency.firstTokenCached.String(),
+		"--token-every", w.latency.tokenEvery.String(),
+		"--token-per-running", w.latency.tokenPerRunning.String(),
 	}
 }
 
-// vms lays the gates over the places in turn; the first ones are keepers too.
+// vms assigns the gates to the places in turn; the first keeperCount are keepers too.
 func (w *workload) vms() []harness.VMOptions {
 	vms := make([]harness.VMOptions, w.gates)
 	for i := range vms {
-		vms[i] = harness.VMOptions{Place: w.places[i%len(w.places)], Gate: true, Keeper: i < keepers}
+		vms[i] = harness.VMOptions{Place: w.places[i%len(w.places)], Gate: true, Keeper: i < keeperCount}
 	}
 	return vms
 }
 
-// template is the configuration of the one team that the load comes from.
+// template returns the configuration template of the team that sends the load.
 func (w *workload) template() string {
 	return fmt.Sprintf(`name = %q
 services = [%q]
--- a/test/api_test.go
+++ b/test/api_test.go
@@ -45,15 +45,15 @@
 policy = "throughput"
 `
 
-// places are those of the Guild.
+// places are the Guild's data centres.
 var places = []harness.Place{
 	{Name: "glas-a", Region: "scot-central"},
 	{Name: "edin-b", Region: "scot-central"},
 	{Name: "perth-c", Region: "scot-central"},
 }
 
-// quickSettings make a lost VM and a new leader show soon.
-const quickSettings = `
+// shortTimeouts are settings for fast detection of lost VMs and fast elections.
+const shortTimeouts = `
 [member]
 heartbeat = "200ms"
 suspect_after = "1s"
@@ -69,23 +69,23 @@
 lease = "3s"
 `
 
-// threeVMs are gates and keepers, one in each place.
+// threeVMs returns three VMs, one in each place, that are both gate and keeper.
 func threeVMs() harness.Options {
-	options := harness.Options{Settings: quickSettings}
+	options := harness.Options{Settings: shortTimeouts}
 	for _, place := range places {
 		options.VMs = append(options.VMs, harness.VMOptions{Place: place, Gate: true, Keeper: true})
 	}
 	return options
 }
 
-// startGuild starts three VMs and so many engines of wordroom, one place after
-// the other, with the team guild.
+// startGuild starts three VMs, the given number of wordroom engines assigned to the
+// places in turn, and configures the team guild.
 func startGuild(ctx context.Context, engines int, flags ...string) (*harness.Fleet, []*harness.Upstream) {
 	GinkgoHelper()
 	return startSite(ctx, threeVMs(), engines, flags...)
 }
 
-// startSite does the same for other VMs.
+// startSite does the same with other fleet options.
 func startSite(ctx context.Context, options harness.Options, engines int, flags ...string) (*harness.Fleet, []*harness.Upstream) {
 	GinkgoHelper()
 	fleet := newFleet(options)
@@ -101,7 +101,7 @@
 	return fleet, upstreams
 }
 
-// refusal is the body of a refusal.
+// refusal is the JSON body of an error response.
 type refusal struct {
 	Error struct {
 		Message string `json:"message"`
@@ -111,7 +111,7 @@
 	} `json:"error"`
 }
 
-// answer is what a listener answered.
+// answer is a listener's response.
 type answer struct {
 	status int
 	header http.Header
@@ -133,14 +133,15 @@
 type call struct {
 	method string
 	path   string
-	body   any // JSON; []byte is sent as it is
+	body   any // encoded as JSON; []byte is sent unchanged
 	header map[string]string
 }
 
-// callTimeout bounds one call: a frozen VM takes connections and never answers.
+// callTimeout limits one call: a frozen VM accepts connections and never answers.
 const callTimeout = 5 * time.Second
 
-// send sends a call to a listener, IP:port. An error means that no answer came.
+// send sends the call to a listener, IP:port. It returns an error if no complete answer
+// was received.
 func (c *call) send(ctx context.Context, address string) (*answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -169,16 +170,16 @@
 	return &answer{status: response.StatusCode, header: response.Header, body: body}, err
 }
 
-// definite says whether an answer settles its call: a result, or a refusal
-// that does not depend on the moment.
-func (a *answer) definite() bool {
+// isDefinite reports whether the answer is final: a result, or a refusal that a resend
+// would not change.
+func (a *answer) isDefinite() bool {
 	return a.status < http.StatusInternalServerError && a.status != http.StatusTooManyRequests
 }
 
-// persist sends a call to one listener after the other, from the first-th on,
-// until one gives a definite answer. All calls that it is used with may be
-// resent.
-func (c *call) persist(ctx context.Context, addresses []string, first int) (*answer, error) {
+// sendUntilDefinite sends the call to the listeners in turn, starting at index first,
+// until one returns a definite answer. It may only be used for calls that are safe to
+// resend.
+func (c *call) sendUntilDefinite(ctx context.Context, addresses []string, first int) (*answer, error) {
 	var got *answer
 	err := harness.WaitFor(ctx, func(ctx context.Context) error {
 		address := addresses[first%len(addresses)]
@@ -187,7 +188,7 @@
 		if err != nil {
 			return err
 		}
-		if !reply.definite() {
+		if !reply.isDefinite() {
 			return fmt.Errorf("%s answered %d: %s", address, reply.status, reply.body)
 		}
 		got = reply
--- a/test/batch_test.go
+++ b/test/batch_test.go
@@ -15,7 +15,7 @@
 	"slateway.example/slateway/test/harness"
 )
 
-// jobStatus is the part of a job's status that the tests look at.
+// jobStatus holds the fields of a job's status that the tests check.
 type jobStatus struct {
 	ID        string `json:"id"`
 	State     string `json:"state"`
@@ -25,13 +25,13 @@
 	Cancelled int    `json:"cancelled"`
 }
 
-// prompt is the prompt of a job's item.
+// prompt returns the prompt of a job's item.
 func prompt(key string, item int) string { return fmt.Sprintf("%s item %d", key, item) }
 
-// itemTokens is the length of each item's answer.
+// itemTokens is the length of each item's answer in tokens.
 const itemTokens = 8
 
-// items are the NDJSON lines of a job's items.
+// items returns the items from, inclusive, to to, exclusive, of a job as NDJSON.
 func items(key string, from, to int) []byte {
 	var lines strings.Builder
 	for i := from; i < to; i++ {
@@ -41,15 +41,16 @@
 	return []byte(lines.String())
 }
 
-// createCall creates a job, or finds the one with the same key.
+// createCall returns a call that creates a job, or finds the one with the same key.
 func createCall(key string) *call {
 	return &call{method: http.MethodPost, path: "/v1/jobs", body: map[string]any{"job_key": key, "service": model}}
 }
 
-// submitJob sends a whole job in parts of 250 items, through any gate.
+// submitJob submits a job in parts of 250 items through the gates in turn, and returns
+// its ID.
 func submitJob(ctx context.Context, gates []string, key string, count int) string {
 	GinkgoHelper()
-	created, err := createCall(key).persist(ctx, gates, 0)
+	created, err := createCall(key).sendUntilDefinite(ctx, gates, 0)
 	Expect(err).NotTo(HaveOccurred())
 	var job jobStatus
 	created.decode(&job)
@@ -63,21 +64,21 @@
 			body:   items(key, from, min(from+partItems, count)),
 			header: map[string]string{"Content-Type": "application/x-ndjson"},
 		}
-		sent, err := part.persist(ctx, gates, parts)
+		sent, err := part.sendUntilDefinite(ctx, gates, parts)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(sent.status).To(Equal(http.StatusOK), string(sent.body))
 		parts++
 	}
-	sealed, err := (&call{method: http.MethodPost, path: "/v1/jobs/" + job.ID + "/seal", body: map[string]int{"parts": parts}}).persist(ctx, gates, 0)
+	sealed, err := (&call{method: http.MethodPost, path: "/v1/jobs/" + job.ID + "/seal", body: map[string]int{"parts": parts}}).sendUntilDefinite(ctx, gates, 0)
 	Expect(err).NotTo(HaveOccurred())
 	Expect(sealed.status).To(Equal(http.StatusOK), string(sealed.body))
 	return job.ID
 }
 
-// readJob reads a job's status through any gate.
+// readJob returns a job's status from the first gate that answers.
 func readJob(ctx context.Context, gates []string, id string) jobStatus {
 	GinkgoHelper()
-	got, err := (&call{method: http.MethodGet, path: "/v1/jobs/" + id}).persist(ctx, gates, 0)
+	got, err := (&call{method: http.MethodGet, path: "/v1/jobs/" + id}).sendUntilDefinite(ctx, gates, 0)
 	Expect(err).NotTo(HaveOccurred())
 	var job jobStatus
 	got.decode(&job)
@@ -98,7 +99,7 @@
 	GinkgoHelper()
 	var results []resultLine
 	for next := "0"; ; {
-		page, err := (&call{method: http.MethodGet, path: "/v1/jobs/" + id + "/results?limit=300&from=" + next}).persist(ctx, []string{gate}, 0)
+		page, err := (&call{method: http.MethodGet, path: "/v1/jobs/" + id + "/results?limit=300&from=" + next}).sendUntilDefinite(ctx, []string{gate}, 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(page.status).To(Equal(http.StatusOK), string(page.body))
 		lines := json.NewDecoder(strings.NewReader(string(page.body)))
@@ -116,8 +117,8 @@
 	}
 }
 
-// expectWhole checks that each item has one result: its own answer.
-func expectWhole(results []resultLine, key string, count int) {
+// expectAllAnswered checks that each item has exactly one result, its own answer.
+func expectAllAnswered(results []resultLine, key string, count int) {
 	GinkgoHelper()
 	Expect(results).To(HaveLen(count))
 	for i, line := range results {
@@ -127,7 +128,7 @@
 	}
 }
 
-// runsOf counts the runs that began at all engines, by prompt.
+// runsOf returns the number of runs started at all engines, by prompt.
 func runsOf(engines []*harness.Upstream) map[string]int {
 	GinkgoHelper()
 	count := map[string]int{}
@@ -141,7 +142,7 @@
 	return count
 }
 
-// lastStart is when the last run began at any engine.
+// lastStart returns the time at which the last run started at any engine.
 func lastStart(engines []*harness.Upstream) time.Time {
 	GinkgoHelper()
 	var last time.Time
@@ -158,10 +159,9 @@
 }
 
 var _ = Describe("a batch job", func() {
-	// A publisher's job of 1,000 items is half done. An engine dies with items
-	// in flight, then a VM that is gate and keeper. The items that ran there
-	// have no result yet; each must be run again elsewhere, none may be lost or
-	// answered twice, and the results must be readable from any gate left.
+	// Guards against lost or duplicated items when an engine, and then a VM that is gate
+	// and keeper, is killed with items in flight. These items must run again elsewhere,
+	// and every remaining gate must return all results.
 	It("answers each of 1,000 items exactly once while an engine and a gate are killed", func(ctx SpecContext) {
 		fleet, engines := startGuild(ctx, 3)
 		id := submitJob(ctx, fleet.Callers(), "bulletin", 1000)
@@ -174,13 +174,13 @@
 		Eventually(ctx, func() jobStatus { return readJob(ctx, gates, id) }).Should(HaveField("State", "done"))
 		Expect(readJob(ctx, gates, id)).To(And(HaveField("Done", 1000), HaveField("Failed", 0)))
 		for _, gate := range gates {
-			expectWhole(readResults(ctx, gate, id), "bulletin", 1000)
+			expectAllAnswered(readResults(ctx, gate, id), "bulletin", 1000)
 		}
-	}, NodeTimeout(3*patience))
+	}, NodeTimeout(3*waitTimeout))
 
-	// A client submits a job, and the VM that acknowledged it is lost at once.
-	// The client believes the job lost and sends it again through another VM:
-	// it must find the same job, whole, and its items must not run twice.
+	// The VM that acknowledged a job is lost at once, and the client submits the job
+	// again through another VM. It must get the same, complete job. Guards against losing
+	// an acknowledged job and against running its items as a second job.
 	It("survives the VM that acknowledged it, and a resend finds it", func(ctx SpecContext) {
 		fleet, engines := startGuild(ctx, 2)
 		first := fleet.VMs[0]
@@ -190,20 +190,19 @@
 		Expect(submitJob(ctx, gates, "notices", 40)).To(Equal(id))
 		Eventually(ctx, func() jobStatus { return readJob(ctx, gates, id) }).Should(HaveField("State", "done"))
 		Expect(readJob(ctx, gates, id)).To(HaveField("Items", 40))
-		expectWhole(readResults(ctx, gates[0], id), "notices", 40)
+		expectAllAnswered(readResults(ctx, gates[0], id), "notices", 40)
 		Expect(runsOf(engines)).To(HaveLen(40))
-	}, NodeTimeout(3*patience))
+	}, NodeTimeout(3*waitTimeout))
 
-	// An operator cancels a bulletin while its items run, which would go on for
-	// a quarter of a minute. Gates hear of the cancel with their next heartbeat;
-	// then streams are cancelled and no further item starts. What was answered
-	// before stays readable.
+	// A job is cancelled while its items run, which would take another 15 s. Gates learn
+	// of the cancellation with their next heartbeat; they must then cancel the streams
+	// and start no further items. Earlier results must stay readable.
 	It("that is cancelled stops", func(ctx SpecContext) {
 		fleet, engines := startGuild(ctx, 2, "--token-every", "30ms", "--slots", "4")
 		gates := fleet.Callers()
 		id := submitJob(ctx, gates, "stopped", 500)
 		Eventually(ctx, func() int { return readJob(ctx, gates, id).Done }).Should(BeNumerically(">=", 8))
-		cancelled, err := (&call{method: http.MethodPost, path: "/v1/jobs/" + id + "/cancel"}).persist(ctx, gates, 0)
+		cancelled, err := (&call{method: http.MethodPost, path: "/v1/jobs/" + id + "/cancel"}).sendUntilDefinite(ctx, gates, 0)
 		Expect(err).NotTo(HaveOccurred())
 		acknowledged := time.Now()
 		var job jobStatus
@@ -217,9 +216,9 @@
 			return started == before
 		}).WithPolling(2 * time.Second).Should(BeTrue())
 		Expect(started).To(BeNumerically("<", 500))
-		late := lastStart(engines).Sub(acknowledged)
-		AddReportEntry("last item started after the acknowledged cancel by", late.String())
-		Expect(late).To(BeNumerically("<", 10*time.Second))
+		delay := lastStart(engines).Sub(acknowledged)
+		AddReportEntry("last item started after the acknowledged cancel by", delay.String())
+		Expect(delay).To(BeNumerically("<", 10*time.Second))
 		job = readJob(ctx, gates, id)
 		Expect(job.Done + job.Failed + job.Cancelled).To(Equal(500))
 		for _, line := range readResults(ctx, gates[1], id) {
@@ -227,5 +226,5 @@
 				Expect(string(line.Response)).To(ContainSubstring(engine.Answer(prompt("stopped", line.Index), itemTokens)))
 			}
 		}
-	}, NodeTimeout(3*patience))
+	}, NodeTimeout(3*waitTimeout))
 })
--- a/test/config_test.go
+++ b/test/config_test.go
@@ -12,7 +12,8 @@
 	"slateway.example/slateway/test/harness"
 )
 
-// putTeam is a change of a team that sets its parameter.
+// putTeam returns a call that creates or changes a team with a value of its parameter
+// concurrent.
 func putTeam(team string, base uint64, changeID string, concurrent int) *call {
 	return &call{method: http.MethodPut, path: "/v1/teams/" + team, body: map[string]any{
 		"template":      "newsdesk",
@@ -25,7 +26,7 @@
 
 func getTeam(team string) *call { return &call{method: http.MethodGet, path: "/v1/teams/" + team} }
 
-// teamState is a team as operators see it.
+// teamState is the operators' view of a team.
 type teamState struct {
 	Revision   uint64            `json:"revision"`
 	Parameters map[string]string `json:"parameters"`
@@ -36,7 +37,7 @@
 	Revision uint64 `json:"revision"`
 }
 
-// startKeepers starts three VMs without upstreams, with the template newsdesk.
+// startKeepers starts three VMs without upstreams and configures the team guild.
 func startKeepers(ctx context.Context) *harness.Fleet {
 	GinkgoHelper()
 	fleet := newFleet(threeVMs())
@@ -46,9 +47,9 @@
 }
 
 var _ = Describe("the configuration", func() {
-	// Two operators read a team at the same revision and both change it,
-	// through different VMs. Exactly one change is accepted; the other operator
-	// is told of the conflict and who won, and the winner's value is in force.
+	// Several operators change a team from the same revision through different VMs.
+	// Exactly one change must be accepted and in force; the others must be rejected with
+	// a conflict that names the winner. Guards against lost updates.
 	It("accepts exactly one of the changes with equal base revisions", func(ctx SpecContext) {
 		fleet := startKeepers(ctx)
 		operators := fleet.Operators()
@@ -61,7 +62,7 @@
 					defer GinkgoRecover()
 					var err error
 					change := putTeam("racers", base, fmt.Sprintf("r%d-%d", round, i), 1+round*10+i)
-					answers[i], err = change.persist(ctx, operators, i)
+					answers[i], err = change.sendUntilDefinite(ctx, operators, i)
 					Expect(err).NotTo(HaveOccurred())
 				})
 			}
@@ -84,18 +85,18 @@
 			var result changed
 			answers[winner].decode(&result)
 			base = result.Revision
-			got, err := getTeam("racers").persist(ctx, operators, round)
+			got, err := getTeam("racers").sendUntilDefinite(ctx, operators, round)
 			Expect(err).NotTo(HaveOccurred())
 			var team teamState
 			got.decode(&team)
 			Expect(team.Parameters).To(HaveKeyWithValue("concurrent", fmt.Sprint(1+round*10+winner)))
 			Expect(team.Revision).To(Equal(base))
 		}
-	}, NodeTimeout(2*patience))
+	}, NodeTimeout(2*waitTimeout))
 
-	// All keepers are killed at once after hundreds of changes and start again:
-	// every change is there, and an operator who never got the answer to an
-	// early change, and resends it now, gets the answer of that time.
+	// All keepers are killed at once after hundreds of changes and restarted. Every
+	// change must be present, and resending an early change, as an operator does who
+	// never got the answer, must return its original answer.
 	It("is whole after all VMs restart, and a resend gets the first answer", func(ctx SpecContext) {
 		fleet := startKeepers(ctx)
 		const teams, rounds = 5, 60
@@ -107,7 +108,7 @@
 					base = revisions[team][round-1]
 				}
 				name := fmt.Sprintf("team-%d", team)
-				got, err := putTeam(name, base, fmt.Sprintf("%s-%d", name, round), round+1).persist(ctx, fleet.Operators(), round)
+				got, err := putTeam(name, base, fmt.Sprintf("%s-%d", name, round), round+1).sendUntilDefinite(ctx, fleet.Operators(), round)
 				Expect(err).NotTo(HaveOccurred())
 				Expect(got.status).To(Equal(http.StatusOK), string(got.body))
 				var result changed
@@ -121,7 +122,7 @@
 		Expect(fleet.Start()).To(Succeed())
 		for team := range teams {
 			name := fmt.Sprintf("team-%d", team)
-			got, err := getTeam(name).persist(ctx, fleet.Operators(), team)
+			got, err := getTeam(name).sendUntilDefinite(ctx, fleet.Operators(), team)
 			Expect(err).NotTo(HaveOccurred())
 			var state teamState
 			got.decode(&state)
@@ -130,11 +131,11 @@
 				Parameters: map[string]string{"concurrent": fmt.Sprint(rounds)},
 			}))
 		}
-		resent, err := putTeam("team-2", revisions[2][6], "team-2-7", 8).persist(ctx, fleet.Operators(), 1)
+		resent, err := putTeam("team-2", revisions[2][6], "team-2-7", 8).sendUntilDefinite(ctx, fleet.Operators(), 1)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(resent.status).To(Equal(http.StatusOK), string(resent.body))
 		var first changed
 		resent.decode(&first)
 		Expect(first.Revision).To(Equal(revisions[2][7]))
-	}, NodeTimeout(3*patience))
+	}, NodeTimeout(3*waitTimeout))
 })
--- a/test/ctl_test.go
+++ b/test/ctl_test.go
@@ -42,7 +42,7 @@
 		Expect(json.Unmarshal([]byte(do(submit...)), &job)).To(Succeed())
 		Expect(job).To(And(HaveField("State", "done"), HaveField("Done", 30)))
 		var resent jobStatus
-		time.Sleep(1100 * time.Millisecond) // the deadline of a second sending would differ
+		time.Sleep(1100 * time.Millisecond) // a second submission would have a different deadline
 		Expect(json.Unmarshal([]byte(do(submit...)), &resent)).To(Succeed())
 		Expect(resent).To(Equal(job))
 		lines := strings.Split(strings.TrimSpace(do("--token", token, "job", "results", "--page", "7", job.ID)), "\n")
@@ -50,7 +50,7 @@
 		for i, line := range lines {
 			Expect(json.Unmarshal([]byte(line), &results[i])).To(Succeed())
 		}
-		expectWhole(results, "by-tool", 30)
+		expectAllAnswered(results, "by-tool", 30)
 		Expect(do("--token", token, "job", "list")).To(ContainSubstring(job.ID))
 		Expect(exitCode(ctx, fleet, "--token", token, "job", "status", "job-none")).To(Equal(ctl.ExitNotFound))
 		Expect(exitCode(ctx, fleet, "--token", "wrong", "job", "list")).To(Equal(ctl.ExitRefused))
@@ -58,7 +58,7 @@
 		Expect(do("upstream", "list")).To(And(ContainSubstring("wordroom-1"), ContainSubstring("ready")))
 		Expect(do("member", "list")).To(And(ContainSubstring("vm-1"), ContainSubstring("tolerance 1")))
 		Expect(do("entries")).To(ContainSubstring(fleet.VMs[0].Callers))
-	}, NodeTimeout(2*patience))
+	}, NodeTimeout(2*waitTimeout))
 })
 
 func exitCode(ctx context.Context, fleet *harness.Fleet, args ...string) int {
--- a/test/drain_test.go
+++ b/test/drain_test.go
@@ -14,14 +14,15 @@
 )
 
 var _ = Describe("a gate that is asked to end", func() {
-	// An operator restarts a VM while callers read long answers from it. It
-	// leaves the directory at once, but its streams outlast every answer of the
-	// directory by far; each must come whole, and only then may the VM exit.
+	// A VM is restarted while callers read long streams from it. It must leave the
+	// directory at once and exit only after all streams are complete. The streams last
+	// much longer than the lifetime of the directory's answers, so a VM that waits only
+	// for that lifetime would cut them off.
 	It("leaves the directory, finishes its streams and exits 0", func(ctx SpecContext) {
 		fleet, _ := startGuild(ctx, 2, "--token-every", "50ms", "--slots", "16")
 		gate := fleet.VMs[2]
 		Eventually(ctx, func() []string { return entries(ctx, fleet.VMs[0].Callers) }).Should(ConsistOf(fleet.Callers()))
-		client := load.NewClient([]string{gate.Callers}, token, wholeAnswer)
+		client := load.NewClient([]string{gate.Callers}, token, isExpectedAnswer)
 		const streams = 8
 		answered := make(chan load.Result, streams)
 		for i := range streams {
@@ -37,16 +38,16 @@
 		for range streams {
 			Expect(<-answered).To(And(HaveField("Outcome", load.Answered), HaveField("Tokens", 120)))
 		}
-		code, err := gate.ExitCode(patience)
+		code, err := gate.ExitCode(waitTimeout)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(code).To(BeZero())
-	}, NodeTimeout(2*patience))
+	}, NodeTimeout(2*waitTimeout))
 })
 
-// inFlight counts the requests of a gate that run at upstreams.
+// inFlight returns the number of a gate's requests that are running at upstreams.
 func inFlight(ctx context.Context, gate string) int {
 	GinkgoHelper()
-	got, err := (&call{method: http.MethodGet, path: "/v1/upstreams"}).persist(ctx, []string{gate}, 0)
+	got, err := (&call{method: http.MethodGet, path: "/v1/upstreams"}).sendUntilDefinite(ctx, []string{gate}, 0)
 	Expect(err).NotTo(HaveOccurred())
 	var upstreams []struct {
 		InFlight int `json:"in_flight"`
@@ -59,10 +60,10 @@
 	return total
 }
 
-// entries are the addresses that a gate tells callers to use.
+// entries returns the addresses that a gate's directory lists for callers, sorted.
 func entries(ctx context.Context, gate string) []string {
 	GinkgoHelper()
-	got, err := (&call{method: http.MethodGet, path: "/v1/entries"}).persist(ctx, []string{gate}, 0)
+	got, err := (&call{method: http.MethodGet, path: "/v1/entries"}).sendUntilDefinite(ctx, []string{gate}, 0)
 	Expect(err).NotTo(HaveOccurred())
 	var directory struct {
 		Entries []struct {
--- a/test/harness/build.go
+++ b/test/harness/build.go
@@ -16,11 +16,11 @@
 	Service   string
 }
 
-// Build builds all programs into folder, with the race detector if asked for.
+// Build builds all programs into folder, with the race detector if race is set.
 func Build(folder string, race bool) (Programs, error) {
 	root, err := exec.Command("go", "list", "-m", "-f", "{{.Dir}}").Output()
 	if err != nil {
-		return Programs{}, fmt.Errorf("find the module: %w", err)
+		return Programs{}, fmt.Errorf("find the module with go list: %w", err)
 	}
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return Programs{}, err
@@ -37,7 +37,7 @@
 	return ProgramsIn(folder), nil
 }
 
-// ProgramsIn gives the programs that were built into folder.
+// ProgramsIn returns the paths of the programs that were built into folder.
 func ProgramsIn(folder string) Programs {
 	return Programs{
 		Slatewayd: filepath.Join(folder, "slatewayd"),
--- a/test/harness/fleet.go
+++ b/test/harness/fleet.go
@@ -13,7 +13,8 @@
 	"slateway.example/slateway/standin/link"
 )
 
-// Ports of every VM, on an IP address of its own.
+// Ports of a VM's listeners; each VM has its own IP address. upstreamPort is the port
+// of the upstreams.
 const (
 	callersPort   = 8080
 	operatorsPort = 8081
@@ -21,7 +22,7 @@
 	upstreamPort  = 8090
 )
 
-// Last numbers of IP addresses.
+// Last octets of the IP addresses.
 const (
 	firstVM       = 1
 	firstPeerLink = 51
@@ -29,43 +30,43 @@
 	relayHost     = 250
 )
 
-// Place is where VMs stand.
+// Place is a data centre.
 type Place struct {
 	Name   string
 	Region string
 }
 
-// VMOptions describe a VM.
+// VMOptions describes a VM.
 type VMOptions struct {
 	Place  Place
 	Gate   bool
 	Keeper bool
 }
 
-// Options describe a fleet.
+// Options describes a fleet.
 type Options struct {
 	VMs []VMOptions
-	// Settings is TOML text that is added to every VM's settings.
+	// Settings is TOML text that is appended to every VM's settings.
 	Settings string
-	// NoRunLogs leaves out the upstreams' run logs. Their writes wait for the
-	// keepers' syncs of the same disk, which no upstream of a site shares.
+	// NoRunLogs disables the upstreams' run logs. Writes to the logs wait for the
+	// keepers' syncs of the same disk, which upstreams do not share with keepers at a
+	// real site.
 	NoRunLogs bool
-	// LinkDelay is the one-way delay between places. If it is not zero, gates
-	// reach upstreams through links; upstreams of their own place without delay.
+	// LinkDelay is the one-way delay between places. If it is not zero, gates reach
+	// upstreams through links; the links within a place have no delay.
 	LinkDelay time.Duration
-	// PeerLinks puts a link before the peers address of each VM, for Cut.
+	// PeerLinks puts a link in front of each VM's peers address, as Cut needs.
 	PeerLinks bool
 }
 
-// Fleet is a set of VMs and upstreams. Its methods may be called at the same
-// time.
+// Fleet is a set of VMs and upstreams. Its methods may be called concurrently.
 type Fleet struct {
 	Folder   string
 	Programs Programs
 	VMs      []*VM
 
 	options Options
-	network string // first three numbers of all addresses
+	network string // first three octets of all addresses
 
 	mu        sync.Mutex
 	upstreams []*Upstream
@@ -74,7 +75,7 @@
 	cuts      [][2]*VM // from, to
 }
 
-// VM is one machine of the system.
+// VM is a virtual machine that runs the daemon as a gate, a keeper or both.
 type VM struct {
 	VMOptions
 	Name      string
@@ -82,7 +83,7 @@
 	Callers   string // IP:port
 	Operators string
 	Peers     string
-	Advertise string // peers address that others use; Peers or a link before it
+	Advertise string // peers address that other VMs use: Peers, or the link in front of it
 	Data      string // data folder
 	Settings  string // path of its TOML file
 	*Process         // nil until started
@@ -92,7 +93,7 @@
 	packets *link.Packets // UDP to Peers
 }
 
-// New lays out a fleet in folder and writes its settings. Nothing is started.
+// New creates a fleet in folder and writes its settings. It starts no processes.
 func New(folder string, programs Programs, options Options) (*Fleet, error) {
 	network, err := freeNetwork()
 	if err != nil {
@@ -110,16 +111,16 @@
 		if err := os.MkdirAll(vm.Data, 0o755); err != nil {
 			return nil, err
 		}
-		if err := os.WriteFile(vm.Settings, []byte(fleet.settingsOf(vm)+options.Settings), 0o644); err != nil {
+		if err := os.WriteFile(vm.Settings, []byte(fleet.settingsFor(vm)+options.Settings), 0o644); err != nil {
 			return nil, err
 		}
 	}
 	return fleet, nil
 }
 
-// freeNetwork picks a loopback network at random that nobody listens on. A
-// port of 0 would do for one process, but settings name the ports of others
-// before these run, and a port that was free once may be taken by then.
+// freeNetwork returns a random loopback network on which nothing listens. Port 0 would
+// not work: settings contain the ports of other processes before these start, and a
+// free port may be taken by then.
 func freeNetwork() (string, error) {
 	for range 100 {
 		network := fmt.Sprintf("127.%d.%d", 1+rand.IntN(254), rand.IntN(256))
@@ -128,7 +129,7 @@
 			return network, listener.Close()
 		}
 	}
-	return "", errors.New("no loopback network is free; on other systems than Linux only 127.0.0.1 is set up")
+	return "", errors.New("found no free loopback network; the harness needs all of 127.0.0.0/8, which only Linux configures by default")
 }
 
 func (f *Fleet) newVM(number int, options VMOptions) *VM {
@@ -158,9 +159,8 @@
 	return nil
 }
 
-// LoseDisk removes the data folder of a VM that was killed, and makes a blank
-// one.
-func (v *VM) LoseDisk() error {
+// WipeDisk replaces the data folder of a killed VM with an empty one.
+func (v *VM) WipeDisk() error {
 	if err := os.RemoveAll(v.Data); err != nil {
 		return err
 	}
@@ -177,7 +177,7 @@
 	return nil
 }
 
-// Close kills every process that the fleet started, and closes its relays.
+// Close kills every process that the fleet started and closes its links.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	upstreams := f.upstreams
@@ -198,7 +198,7 @@
 	}
 }
 
-// Callers gives the callers' addresses of all gates.
+// Callers returns the callers' addresses of all gates.
 func (f *Fleet) Callers() []string {
 	var addresses []string
 	for _, vm := range f.VMs {
@@ -209,7 +209,7 @@
 	return addresses
 }
 
-// Operators gives the operators' addresses of all VMs.
+// Operators returns the operators' addresses of all VMs.
 func (f *Fleet) Operators() []string {
 	var addresses []string
 	for _, vm := range f.VMs {
--- a/test/harness/partition.go
+++ b/test/harness/partition.go
@@ -9,8 +9,8 @@
 	"slateway.example/slateway/standin/link"
 )
 
-// addPeerLinks puts a link before each VM's peers address if Options ask for
-// it.
+// addPeerLinks puts a link in front of each VM's peers address if Options.PeerLinks is
+// set.
 func (f *Fleet) addPeerLinks() error {
 	if !f.options.PeerLinks {
 		return nil
@@ -30,9 +30,9 @@
 	return nil
 }
 
-// Cut stalls what one VM sends to another's peers address, in questions and in
-// answers, or passes it again. The other direction is not affected, and nobody
-// is told: no connection closes.
+// Cut stalls, or passes again, everything that one VM sends to another over their
+// peers addresses, requests as well as responses. The opposite direction is not
+// affected, and no connection is closed, so that neither VM is notified.
 func (f *Fleet) Cut(from, to *VM, cut bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -46,8 +46,8 @@
 	f.setStreams(to, from)
 }
 
-// setStreams sets the condition of the streams that one VM opens to another.
-// The caller holds f.mu.
+// setStreams applies the cuts to the connections that one VM opens to another. The
+// caller holds f.mu.
 func (f *Fleet) setStreams(opener, target *VM) {
 	target.streams.SetFor(opener.Name, link.Condition{
 		StallForward:  slices.Contains(f.cuts, [2]*VM{opener, target}),
@@ -55,8 +55,8 @@
 	})
 }
 
-// Isolate cuts a VM off from all others in both directions, or heals it.
-// Callers, operators and upstreams still reach it.
+// Isolate cuts a VM off from all other VMs in both directions, or reconnects it.
+// Callers, operators and upstreams can still reach it.
 func (f *Fleet) Isolate(vm *VM, cut bool) {
 	for _, other := range f.VMs {
 		if other != vm {
@@ -66,8 +66,8 @@
 	}
 }
 
-// packetSource names the VM that sent a datagram: its socket is bound to the
-// VM's own IP address.
+// packetSource returns the name of the VM that sent a datagram. Each VM's socket is
+// bound to its own IP address.
 func (f *Fleet) packetSource(address net.Addr) string {
 	for _, vm := range f.VMs {
 		if address.String() == vm.Peers {
@@ -77,8 +77,8 @@
 	return ""
 }
 
-// streamSource names the VM that opened a connection: daemons connect to each
-// other from the IP address that they listen on.
+// streamSource returns the name of the VM that opened a connection. Daemons connect to
+// each other from the IP address that they listen on.
 func (f *Fleet) streamSource(conn net.Conn) string {
 	address, err := netip.ParseAddrPort(conn.RemoteAddr().String())
 	if err != nil {
--- a/test/harness/process.go
+++ b/test/harness/process.go
@@ -1,7 +1,6 @@
-// Package harness runs whole fleets of slateway's processes on one machine, for
-// tests and experiments only: it builds the programs, writes their settings,
-// starts them on loopback addresses of their own, and kills, freezes and ends
-// them by their process IDs.
+// Package harness runs whole fleets of slateway processes on one machine, for tests
+// and experiments only. It builds the programs, writes their settings, starts them on
+// their own loopback addresses, and kills, freezes and terminates them by process ID.
 package harness
 
 import (
@@ -16,10 +15,10 @@
 // Process is a program that this package started.
 type Process struct {
 	Name    string
-	LogFile string // its standard output and error
+	LogFile string // standard output and standard error
 
 	command *exec.Cmd
-	done    chan struct{} // closed once it has ended
+	done    chan struct{} // closed once the process has exited
 }
 
 // Start starts a program. Its output is appended to NAME.log in folder.
@@ -33,7 +32,7 @@
 	command := exec.Command(program, args...)
 	command.Stdout = log
 	command.Stderr = log
-	// A run that is killed itself must not leave its processes behind.
+	// The process must not outlive a test run that is killed.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
 		return nil, fmt.Errorf("start %s: %w", name, err)
@@ -46,25 +45,26 @@
 	return process, nil
 }
 
-// PID is the process ID.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
-// Kill ends the process at once, as a lost VM does, and waits for its end.
+// Kill kills the process, which simulates the loss of its VM, and waits until it has
+// exited.
 func (p *Process) Kill() {
 	_ = p.command.Process.Kill()
 	<-p.done
 }
 
-// Freeze stops the process without ending it.
+// Freeze suspends the process with SIGSTOP.
 func (p *Process) Freeze() error { return p.command.Process.Signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a frozen process.
 func (p *Process) Thaw() error { return p.command.Process.Signal(syscall.SIGCONT) }
 
-// Terminate asks the process to end gracefully.
+// Terminate sends SIGTERM, which asks the process to shut down gracefully.
 func (p *Process) Terminate() error { return p.command.Process.Signal(syscall.SIGTERM) }
 
-// Running says whether the process has not ended.
+// Running reports whether the process has not exited yet.
 func (p *Process) Running() bool {
 	select {
 	case <-p.done:
@@ -74,19 +74,19 @@
 	}
 }
 
-// ExitCode waits for the end of the process and gives its exit code; -1 if a
-// signal ended it.
-func (p *Process) ExitCode(longest time.Duration) (int, error) {
+// ExitCode waits until the process has exited and returns its exit code, or -1 if a
+// signal killed it.
+func (p *Process) ExitCode(timeout time.Duration) (int, error) {
 	select {
 	case <-p.done:
 		return p.command.ProcessState.ExitCode(), nil
-	case <-time.After(longest):
-		return 0, fmt.Errorf("%s still runs after %s", p.Name, longest)
+	case <-time.After(timeout):
+		return 0, fmt.Errorf("%s is still running after %s", p.Name, timeout)
 	}
 }
 
-// Log gives the last bytes of the process's output, at most limit.
-func (p *Process) Log(limit int) string {
+// LogTail returns the last bytes of the process's output, at most limit.
+func (p *Process) LogTail(limit int) string {
 	content, err := os.ReadFile(p.LogFile)
 	if err != nil {
 		return err.Error()
--- a/test/harness/ready.go
+++ b/test/harness/ready.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// poll is the time between two looks whether something has come about.
-const poll = 50 * time.Millisecond
+// pollInterval is the time between two checks of a condition.
+const pollInterval = 50 * time.Millisecond
 
-// get reads JSON from a listener.
-func get(ctx context.Context, address, path string, into any) error {
+// getJSON sends a GET request to a listener and decodes its JSON answer.
+func getJSON(ctx context.Context, address, path string, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
@@ -30,10 +30,10 @@
 	return json.NewDecoder(response.Body).Decode(into)
 }
 
-// WaitFor asks until check finds nothing wrong, or until ctx ends: then its
-// error says what was wrong last.
+// WaitFor repeats check until it returns nil or ctx ends. The error then includes the
+// last one that check returned.
 func WaitFor(ctx context.Context, check func(ctx context.Context) error) error {
-	ticker := time.NewTicker(poll)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		err := check(ctx)
@@ -48,8 +48,8 @@
 	}
 }
 
-// WaitReady waits until every gate has a configuration and sees so many ready
-// replicas of each service.
+// WaitReady waits until every gate reports at least the given number of ready replicas
+// of each service.
 func (f *Fleet) WaitReady(ctx context.Context, replicas map[string]int) error {
 	for _, vm := range f.VMs {
 		if !vm.Gate {
@@ -57,7 +57,7 @@
 		}
 		err := WaitFor(ctx, func(ctx context.Context) error { return vm.checkReplicas(ctx, replicas) })
 		if err != nil {
-			return fmt.Errorf("%s: %w\n%s", vm.Name, err, vm.Log(2000))
+			return fmt.Errorf("%s: %w\n%s", vm.Name, err, vm.LogTail(2000))
 		}
 	}
 	return nil
@@ -68,7 +68,7 @@
 		Service string `json:"service"`
 		State   string `json:"state"`
 	}
-	if err := get(ctx, v.Callers, "/v1/upstreams", &upstreams); err != nil {
+	if err := getJSON(ctx, v.Callers, "/v1/upstreams", &upstreams); err != nil {
 		return err
 	}
 	ready := map[string]int{}
@@ -85,16 +85,16 @@
 	return nil
 }
 
-// Counters reads the counters of a VM's daemon.
+// Counters returns the counters of a VM's daemon.
 func (v *VM) Counters(ctx context.Context) (map[string]int64, error) {
 	var metrics struct {
 		Counters map[string]int64 `json:"counters"`
 	}
-	err := get(ctx, v.Operators, "/metrics", &metrics)
+	err := getJSON(ctx, v.Operators, "/metrics", &metrics)
 	return metrics.Counters, err
 }
 
-// Counters adds up the counters of all VMs that answer.
+// Counters returns the sums of the counters of all VMs that answer.
 func (f *Fleet) Counters(ctx context.Context) map[string]int64 {
 	sums := map[string]int64{}
 	for _, vm := range f.VMs {
--- a/test/harness/settings.go
+++ b/test/harness/settings.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// settingsOf gives a VM's settings in TOML.
-func (f *Fleet) settingsOf(vm *VM) string {
+// settingsFor returns a VM's settings as TOML text.
+func (f *Fleet) settingsFor(vm *VM) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "[vm]\nname = %q\nplace = %q\nregion = %q\nroles = [%s]\n",
 		vm.Name, vm.Place.Name, vm.Place.Region, strings.Join(vm.roles(), ", "))
@@ -34,5 +34,5 @@
 	return roles
 }
 
-// daemonArgs are the command-line arguments of a VM's daemon.
+// daemonArgs returns the command-line arguments of a VM's daemon.
 func (f *Fleet) daemonArgs(vm *VM) []string { return []string{vm.Settings} }
--- a/test/harness/upstream.go
+++ b/test/harness/upstream.go
@@ -13,14 +13,14 @@
 	"slateway.example/slateway/standin/service"
 )
 
-// Upstream is a stand-in that runs as a process.
+// Upstream is a simulated engine or service that runs as a process.
 type Upstream struct {
-	Replica string
-	Address string // IP:port
-	RunLog  string // file with a line at each start and end of a run
-	Place   Place
-	Near    *link.Relay // before it, for gates of its place; nil without LinkDelay
-	Far     *link.Relay // the same for gates of other places
+	Replica    string
+	Address    string // IP:port
+	RunLog     string // file with a line for each start and end of a run
+	Place      Place
+	LocalLink  *link.Relay // link in front of it for gates in its place; nil without LinkDelay
+	RemoteLink *link.Relay // link in front of it for gates in other places; nil without LinkDelay
 	*Process
 
 	fleet   *Fleet
@@ -28,18 +28,18 @@
 	args    []string
 }
 
-// StartEngine starts a stand-in engine in a place, which announces itself to
-// all gates. further are flags of standin-engine.
-func (f *Fleet) StartEngine(service, replica string, place Place, further ...string) (*Upstream, error) {
-	return f.startUpstream(f.Programs.Engine, service, replica, place, further)
+// StartEngine starts a simulated engine in a place; it announces itself to all gates.
+// extra holds additional flags for standin-engine.
+func (f *Fleet) StartEngine(service, replica string, place Place, extra ...string) (*Upstream, error) {
+	return f.startUpstream(f.Programs.Engine, service, replica, place, extra)
 }
 
-// StartService starts a stand-in for a plain service.
-func (f *Fleet) StartService(service, replica string, place Place, further ...string) (*Upstream, error) {
-	return f.startUpstream(f.Programs.Service, service, replica, place, further)
+// StartService starts a simulated plain service, as StartEngine does an engine.
+func (f *Fleet) StartService(service, replica string, place Place, extra ...string) (*Upstream, error) {
+	return f.startUpstream(f.Programs.Service, service, replica, place, extra)
 }
 
-func (f *Fleet) startUpstream(program, service, replica string, place Place, further []string) (*Upstream, error) {
+func (f *Fleet) startUpstream(program, service, replica string, place Place, extra []string) (*Upstream, error) {
 	f.mu.Lock()
 	address := fmt.Sprintf("%s.%d:%d", f.network, firstUpstream+len(f.upstreams), upstreamPort)
 	upstream := &Upstream{Replica: replica, Address: address, RunLog: filepath.Join(f.Folder, replica+".runs"), Place: place, fleet: f, program: program}
@@ -53,46 +53,46 @@
 	if !f.options.NoRunLogs {
 		upstream.args = append(upstream.args, "--run-log", upstream.RunLog)
 	}
-	upstream.args = append(upstream.args, further...)
+	upstream.args = append(upstream.args, extra...)
 	if err := f.addLinks(upstream); err != nil {
 		return nil, err
 	}
 	for _, vm := range f.VMs {
 		if vm.Gate {
-			upstream.args = append(upstream.args, "--gate", vm.Callers+upstream.via(vm))
+			upstream.args = append(upstream.args, "--gate", vm.Callers+upstream.linkSuffix(vm))
 		}
 	}
 	return upstream, upstream.Restart()
 }
 
-// addLinks puts links before an upstream if the fleet has a LinkDelay.
+// addLinks puts links in front of an upstream if the fleet has a LinkDelay.
 func (f *Fleet) addLinks(upstream *Upstream) (err error) {
 	if f.options.LinkDelay == 0 {
 		return nil
 	}
-	if upstream.Near, err = f.Relay(upstream.Address, 1); err != nil {
+	if upstream.LocalLink, err = f.Relay(upstream.Address, 1); err != nil {
 		return err
 	}
-	if upstream.Far, err = f.Relay(upstream.Address, 2); err != nil {
+	if upstream.RemoteLink, err = f.Relay(upstream.Address, 2); err != nil {
 		return err
 	}
-	upstream.Far.Set(link.Condition{Delay: f.options.LinkDelay})
+	upstream.RemoteLink.Set(link.Condition{Delay: f.options.LinkDelay})
 	return nil
 }
 
-// via gives the address that the upstream announces to a gate, as the suffix
-// of its flag.
-func (u *Upstream) via(gate *VM) string {
+// linkSuffix returns the suffix of the --gate flag with the address that the upstream
+// announces to that gate; empty means its own address.
+func (u *Upstream) linkSuffix(gate *VM) string {
 	switch {
-	case u.Near == nil:
+	case u.LocalLink == nil:
 		return ""
 	case gate.Place == u.Place:
-		return "=" + u.Near.Address()
+		return "=" + u.LocalLink.Address()
 	}
-	return "=" + u.Far.Address()
+	return "=" + u.RemoteLink.Address()
 }
 
-// Restart starts the stand-in again after its end, on the same address.
+// Restart starts the upstream again on the same address after it has exited.
 func (u *Upstream) Restart() error {
 	process, err := Start(u.Replica, u.fleet.Folder, u.program, u.args...)
 	if err != nil {
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// Runs reads the runs of a stand-in engine from its log, also after it was
-// killed. A run that never ended has no Outcome.
+// Runs returns the runs in an engine's run log, which can also be read after the engine
+// was killed. A run that never ended has no Outcome.
 func (u *Upstream) Runs() ([]engine.RunEntry, error) {
 	file, err := os.Open(u.RunLog)
 	if err != nil {
@@ -116,7 +116,7 @@
 	for {
 		var entry engine.RunEntry
 		err := lines.Decode(&entry)
-		// A process that was killed may leave half a line at the end.
+		// A killed process may leave an incomplete last line.
 		if err == io.EOF || errors.Is(err, io.ErrUnexpectedEOF) {
 			return runs, nil
 		}
@@ -133,7 +133,7 @@
 	}
 }
 
-// Relay puts a link before a target on an address of its own, IP:port.
+// Relay puts a link with its own address in front of a target, IP:port.
 func (f *Fleet) Relay(target string, seed uint64) (*link.Relay, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -146,7 +146,7 @@
 	return relay, nil
 }
 
-// Calls reads the runs of a stand-in service from its log.
+// Calls returns the calls in a service's run log.
 func (u *Upstream) Calls() ([]service.Call, error) {
 	file, err := os.Open(u.RunLog)
 	if err != nil {
--- a/test/harness/usage.go
+++ b/test/harness/usage.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// Usage is what a running process has used so far.
+// Usage is the CPU time and memory that a running process uses.
 type Usage struct {
-	CPU      time.Duration // user and system
-	Resident int64         // bytes of memory now
+	CPU      time.Duration // user and system time so far
+	Resident int64         // resident memory in bytes
 }
 
-// clockTick is the unit of processor times in /proc; it is 100 a second on
-// every Linux that Go runs on.
+// clockTick is the unit of CPU times in /proc: 100 per second on every Linux system
+// that Go supports.
 const clockTick = 10 * time.Millisecond
 
-// Fields of /proc/PID/stat after the program's name, from 0.
+// Indexes of the fields of /proc/PID/stat after the program's name, from 0.
 const (
 	statUser     = 11
 	statSystem   = 12
 	statResident = 21
 )
 
-// Usage reads the process's use of the machine.
+// Usage returns the process's current CPU time and memory.
 func (p *Process) Usage() (Usage, error) {
 	content, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID()))
 	if err != nil {
 		return Usage{}, err
 	}
-	// The name is in brackets, and may itself hold blanks and brackets.
+	// The name is in parentheses, and may itself contain spaces and parentheses.
 	_, rest, _ := strings.Cut(string(content[strings.LastIndexByte(string(content), ')'):]), " ")
 	fields := strings.Fields(rest)
 	if len(fields) <= statResident {
--- a/test/history_test.go
+++ b/test/history_test.go
@@ -19,13 +19,14 @@
 	"slateway.example/slateway/test/harness"
 )
 
-// seedsVariable names the seeds of the history checks, as FIRST-LAST.
+// seedsVariable is the environment variable for the seeds of the history checks, as
+// FIRST-LAST.
 const seedsVariable = "SLATEWAY_TEST_SEEDS"
 
-// defaultSeeds keep a run short enough for each commit.
+// defaultSeeds are few enough to run on each commit.
 const defaultSeeds = "1-20"
 
-// checkTime bounds the check of one history.
+// checkTime limits the check of one history.
 const checkTime = time.Minute
 
 // history collects operations of concurrent clients.
@@ -37,8 +38,8 @@
 
 func newHistory() *history { return &history{start: time.Now()} }
 
-// record runs an operation and notes when it began and ended. The operation
-// spans all resends of its call: they carry one ID and must act as one.
+// record runs an operation and records its start and end. An operation includes all
+// resends of its call, which share one ID and must take effect as one.
 func (h *history) record(client int, input any, run func() any) {
 	began := time.Since(h.start)
 	output := run()
@@ -50,7 +51,8 @@
 	})
 }
 
-// expectLinearizable checks the history, and keeps a drawing of a wrong one.
+// expectLinearizable checks the history. If the check fails, it saves a visualization
+// and reports its path.
 func (h *history) expectLinearizable(model porcupine.Model, name string) {
 	GinkgoHelper()
 	verdict, info := porcupine.CheckOperationsVerbose(model, h.operations, checkTime)
@@ -61,7 +63,7 @@
 	}
 }
 
-// run is one seed's clients on a fleet.
+// seedRun holds the clients of one seed on a fleet and what they recorded.
 type seedRun struct {
 	seed      uint64
 	operators []string
@@ -70,18 +72,18 @@
 	jobs      *history
 
 	mu     sync.Mutex
-	claims map[string][]*answer // answers by idempotency key
+	claims map[string][]*answer // answers, by idempotency key
 }
 
-// Sizes of one seed's run.
+// Numbers of clients and operations per seed.
 const (
-	configClients = 4
-	jobClients    = 3
-	claimClients  = 3
-	operationsOf  = 20 // of each client
+	configClients       = 4
+	jobClients          = 3
+	claimClients        = 3
+	operationsPerClient = 20
 )
 
-// clients runs all clients of a seed to their end.
+// clients runs all clients of a seed until they have finished.
 func (r *seedRun) clients(ctx context.Context) {
 	var running sync.WaitGroup
 	start := func(count int, work func(ctx context.Context, client int, random *rand.Rand)) {
@@ -98,12 +100,12 @@
 	running.Wait()
 }
 
-// configClient reads and changes two teams, at times on an old revision.
+// configClient reads, changes and deletes two teams, sometimes from an old revision.
 func (r *seedRun) configClient(ctx context.Context, client int, random *rand.Rand) {
 	known := map[string]uint64{}
-	for op := range operationsOf {
+	for op := range operationsPerClient {
 		team := fmt.Sprintf("s%d-%d", r.seed, random.IntN(2))
-		input := configInput{team: team, kind: drawKind(random), base: known[team], value: 1 + client*operationsOf + op}
+		input := configInput{team: team, kind: drawKind(random), base: known[team], value: 1 + client*operationsPerClient + op}
 		if input.kind == deleteTeam && input.base == 0 {
 			input.kind = readTeam
 		}
@@ -115,7 +117,7 @@
 			}
 			return output
 		})
-		rest(ctx, time.Duration(random.IntN(60))*time.Millisecond)
+		sleep(ctx, time.Duration(random.IntN(60))*time.Millisecond)
 	}
 }
 
@@ -137,7 +139,7 @@
 	case deleteTeam:
 		asked = &call{method: http.MethodDelete, path: fmt.Sprintf("/v1/teams/%s?base_revision=%d&change_id=%s", input.team, input.base, changeID)}
 	}
-	got, err := asked.persist(ctx, r.operators, client)
+	got, err := asked.sendUntilDefinite(ctx, r.operators, client)
 	Expect(err).NotTo(HaveOccurred())
 	if got.status != http.StatusOK {
 		Expect(got.status).To(BeElementOf(http.StatusConflict, http.StatusNotFound), string(got.body))
@@ -149,13 +151,13 @@
 	return configOutput{revision: state.Revision, value: value}
 }
 
-// jobClient drives one of two jobs that all clients share.
+// jobClient operates on two jobs that all clients share.
 func (r *seedRun) jobClient(ctx context.Context, client int, random *rand.Rand) {
 	for range 2 {
 		key := fmt.Sprintf("job-%d-%d", r.seed, random.IntN(2))
 		id := ""
 		r.jobs.record(client, jobInput{key, createJob}, func() any {
-			got, err := createCall(key).persist(ctx, r.gates, client)
+			got, err := createCall(key).sendUntilDefinite(ctx, r.gates, client)
 			Expect(err).NotTo(HaveOccurred())
 			var job jobStatus
 			got.decode(&job)
@@ -163,11 +165,11 @@
 			return jobOutput{state: job.State}
 		})
 		part := &call{method: http.MethodPut, path: "/v1/jobs/" + id + "/parts/0", body: items(key, 0, 3), header: map[string]string{"Content-Type": "application/x-ndjson"}}
-		_, err := part.persist(ctx, r.gates, client)
+		_, err := part.sendUntilDefinite(ctx, r.gates, client)
 		Expect(err).NotTo(HaveOccurred())
-		for range operationsOf / 2 {
+		for range operationsPerClient / 2 {
 			r.jobOperation(ctx, client, key, id, random)
-			rest(ctx, time.Duration(random.IntN(100))*time.Millisecond)
+			sleep(ctx, time.Duration(random.IntN(100))*time.Millisecond)
 		}
 	}
 }
@@ -184,7 +186,7 @@
 		asked = &call{method: http.MethodPost, path: "/v1/jobs/" + id + "/cancel"}
 	}
 	r.jobs.record(client, jobInput{key, kind}, func() any {
-		got, err := asked.persist(ctx, r.gates, client)
+		got, err := asked.sendUntilDefinite(ctx, r.gates, client)
 		Expect(err).NotTo(HaveOccurred())
 		if got.status != http.StatusOK {
 			return jobOutput{refused: true}
@@ -201,13 +203,13 @@
 	nonIdempotentHeader = "Slateway-Non-Idempotent"
 )
 
-// claimTries is how often a client sends one non-idempotent request.
+// claimTries is how many times a client sends one non-idempotent request at most.
 const claimTries = 4
 
-// claimClient sends the same non-idempotent requests as all other clients,
-// each through several gates, until it has an answer.
+// claimClient sends the same non-idempotent requests as the other clients, each to
+// several gates until one returns a result.
 func (r *seedRun) claimClient(ctx context.Context, client int, random *rand.Rand) {
-	for number := range operationsOf / 2 {
+	for number := range operationsPerClient / 2 {
 		key := fmt.Sprintf("plate-%d-%d", r.seed, number)
 		confirm := &call{
 			method: http.MethodPost, path: "/services/pagedesk/confirm/" + key, body: map[string]string{"plate": key},
@@ -223,12 +225,13 @@
 			if err == nil && got.status == http.StatusOK {
 				break
 			}
-			rest(ctx, time.Duration(50+random.IntN(100))*time.Millisecond)
+			sleep(ctx, time.Duration(50+random.IntN(100))*time.Millisecond)
 		}
 	}
 }
 
-// expectAtMostOnce compares what callers were told with what ran.
+// expectAtMostOnce compares the answers that callers received with the runs in the
+// service's log.
 func (r *seedRun) expectAtMostOnce(service *harness.Upstream) {
 	GinkgoHelper()
 	calls, err := service.Calls()
@@ -252,27 +255,27 @@
 			Expect(string(got.body)).To(Equal(outcome), "two outcomes of %s", key)
 		}
 		if len(answers) == claimClients*claimTries && outcome == "" && !mayHaveRun {
-			Expect(runs[key]).To(BeZero(), "%s was told not to have run, and ran", key)
+			Expect(runs[key]).To(BeZero(), "%s was reported as not run, and ran", key)
 		}
 	}
 }
 
-// report counts what happened in a seed's run.
+// report adds the counts of a seed's run to the test report.
 func (r *seedRun) report(faults map[string]int) {
-	answered, clerks := 0, 0
+	answered, confirmations := 0, 0
 	for _, answers := range r.claims {
 		for _, got := range answers {
-			clerks++
+			confirmations++
 			if got.status == http.StatusOK {
 				answered++
 			}
 		}
 	}
 	AddReportEntry(fmt.Sprintf("seed %d", r.seed), fmt.Sprintf("faults %v, %d configuration and %d job operations, %d of %d confirmations answered",
-		faults, len(r.config.operations), len(r.jobs.operations), answered, clerks))
+		faults, len(r.config.operations), len(r.jobs.operations), answered, confirmations))
 }
 
-// seeds reads seedsVariable.
+// seeds returns the first and last seed from seedsVariable or defaultSeeds.
 func seeds() (first, last uint64) {
 	GinkgoHelper()
 	text := os.Getenv(seedsVariable)
@@ -288,38 +291,37 @@
 }
 
 var _ = Describe("concurrent histories while VMs are killed, frozen, cut off and lose their disks", func() {
-	// Operators race and resend, callers create, seal and cancel shared jobs,
-	// and clerks confirm the same plates through several gates, while one VM
-	// after the other is killed, frozen, cut off, also in one direction only, or
-	// comes back with a blank disk. Whatever was answered must be explained by one
-	// order of the operations, each acting once, and no plate may be confirmed
-	// twice.
+	// Clients change teams concurrently, create, seal and cancel shared jobs, and send
+	// the same non-idempotent requests through several gates, while VMs in turn are
+	// killed, frozen, cut off in one or both directions, or lose their disks. All answers
+	// must fit one order of the operations in which each takes effect once, and no
+	// non-idempotent request may run twice.
 	It("are linearizable, and non-idempotent requests run at most once", func(ctx SpecContext) {
 		first, last := seeds()
-		var lanes sync.WaitGroup
-		for lane := range uint64(historyLanes) {
+		var runs sync.WaitGroup
+		for offset := range uint64(parallelFleets) {
 			options := threeVMs()
 			options.PeerLinks = true
 			fleet, _ := startSite(ctx, options, 2)
 			service, err := fleet.StartService("pagedesk", "pagedesk-1", places[0], "--delay", "20ms")
 			Expect(err).NotTo(HaveOccurred())
 			Expect(fleet.WaitReady(ctx, map[string]int{"pagedesk": 1})).To(Succeed())
-			lanes.Go(func() {
+			runs.Go(func() {
 				defer GinkgoRecover()
-				for seed := first + lane; seed <= last; seed += historyLanes {
+				for seed := first + offset; seed <= last; seed += parallelFleets {
 					checkSeed(ctx, fleet, service, seed)
 				}
 			})
 		}
-		lanes.Wait()
+		runs.Wait()
 	}, NodeTimeout(time.Hour))
 })
 
-// historyLanes are the fleets whose seeds run at the same time: each spends
-// most of its time waiting for faults to pass.
-const historyLanes = 3
+// parallelFleets is the number of fleets that run seeds concurrently; each spends most
+// of its time waiting for faults to end.
+const parallelFleets = 3
 
-// checkSeed runs a seed's clients under its faults, and checks what they saw.
+// checkSeed runs a seed's clients while injecting its faults, and checks the answers.
 func checkSeed(ctx context.Context, fleet *harness.Fleet, service *harness.Upstream, seed uint64) {
 	GinkgoHelper()
 	By(fmt.Sprintf("seed %d", seed))
@@ -327,16 +329,16 @@
 		seed: seed, operators: fleet.Operators(), gates: fleet.Callers(),
 		config: newHistory(), jobs: newHistory(), claims: map[string][]*answer{},
 	}
-	disturbing, peace := context.WithCancel(ctx)
-	defer peace()
+	injecting, stopFaults := context.WithCancel(ctx)
+	defer stopFaults()
 	var nemesis sync.WaitGroup
 	var faults map[string]int
 	nemesis.Go(func() {
 		defer GinkgoRecover()
-		faults = disturb(disturbing, fleet, rand.New(rand.NewPCG(seed, 1000)))
+		faults = injectFaults(injecting, fleet, rand.New(rand.NewPCG(seed, 1000)))
 	})
 	run.clients(ctx)
-	peace()
+	stopFaults()
 	nemesis.Wait()
 	run.report(faults)
 	run.config.expectLinearizable(configModel, fmt.Sprintf("config-seed-%d", seed))
--- a/test/models_check_test.go
+++ b/test/models_check_test.go
@@ -6,7 +6,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// sequence makes a history of operations that did not overlap.
+// sequence returns a history of operations that do not overlap, from pairs of input and
+// output.
 func sequence(pairs ...any) []porcupine.Operation {
 	var operations []porcupine.Operation
 	for i := 0; i < len(pairs); i += 2 {
--- a/test/models_test.go
+++ b/test/models_test.go
@@ -17,7 +17,7 @@
 	deleteTeam configKind = "delete"
 )
 
-// configInput is what a client asked. Its value tells each change apart.
+// configInput is a client's operation on a team. Each change has a unique value.
 type configInput struct {
 	team  string
 	kind  configKind
@@ -25,22 +25,22 @@
 	value int
 }
 
-// configOutput is what it was told. A change that was not accepted is refused:
-// its base revision was not the team's.
+// configOutput is the answer to a configInput. A change is refused if its base revision
+// is not the team's current one.
 type configOutput struct {
 	refused  bool
 	revision uint64
 	value    int
 }
 
-// configState is a team; revision 0 means that there is none.
+// configState is the state of a team; revision 0 means that it does not exist.
 type configState struct {
 	revision uint64
 	value    int
 }
 
-// configModel is a compare-and-set register for each team, whose revisions
-// only grow.
+// configModel models each team as a compare-and-set register whose revisions only
+// increase.
 var configModel = porcupine.Model{
 	Partition: partitionBy(func(op porcupine.Operation) string { return op.Input.(configInput).team }),
 	Init:      func() any { return configState{} },
@@ -72,19 +72,20 @@
 	readState jobKind = "read"
 )
 
-// jobInput is what a client asked about the job with a key.
+// jobInput is a client's operation on the job with a key.
 type jobInput struct {
 	key  string
 	kind jobKind
 }
 
-// jobOutput is the state that it was told; refused if the operation was.
+// jobOutput is the answer to a jobInput: the job's state, or that the operation was
+// refused.
 type jobOutput struct {
 	refused bool
 	state   string
 }
 
-// States of a job in the API, and of one that does not exist.
+// States of a job in the API; stateNone is a job that does not exist.
 const (
 	stateNone      = ""
 	stateOpen      = "open"
@@ -93,14 +94,14 @@
 	stateCancelled = "cancelled"
 )
 
-// jobModel is a job's life. Its items end at a moment that no client sees:
-// that step is hidden before whichever operation shows it first.
+// jobModel models the life cycle of a job. Its items finish at a time that no client
+// observes, so any operation on a sealed job may find it done.
 var jobModel = porcupine.NondeterministicModel{
 	Partition: partitionBy(func(op porcupine.Operation) string { return op.Input.(jobInput).key }),
 	Init:      func() []any { return []any{stateNone} },
 	Step: func(state, input, output any) []any {
 		var after []any
-		for _, before := range withHiddenEnd(state.(string)) {
+		for _, before := range possibleStates(state.(string)) {
 			if next, ok := jobStep(before, input.(jobInput).kind, output.(jobOutput)); ok {
 				after = append(after, next)
 			}
@@ -109,7 +110,7 @@
 	},
 }
 
-func withHiddenEnd(state string) []string {
+func possibleStates(state string) []string {
 	if state == stateSealed {
 		return []string{stateSealed, stateDone}
 	}
@@ -142,7 +143,7 @@
 			return before, before == stateNone
 		}
 	}
-	for _, shown := range withHiddenEnd(after) {
+	for _, shown := range possibleStates(after) {
 		if shown == out.state {
 			return shown, true
 		}
@@ -150,7 +151,7 @@
 	return before, false
 }
 
-// partitionBy splits a history by a key, in the order of the keys.
+// partitionBy returns a function that splits a history by key, in sorted order of keys.
 func partitionBy(key func(porcupine.Operation) string) func([]porcupine.Operation) [][]porcupine.Operation {
 	return func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := map[string][]porcupine.Operation{}
--- a/test/nemesis_test.go
+++ b/test/nemesis_test.go
@@ -13,19 +13,19 @@
 	"slateway.example/slateway/test/harness"
 )
 
-// disturbance is one fault of a VM, with the way back.
-type disturbance struct {
-	name  string
-	bring func(fleet *harness.Fleet, vm *harness.VM) error
-	heal  func(fleet *harness.Fleet, vm *harness.VM) error
+// vmFault is a fault of a VM and its recovery.
+type vmFault struct {
+	name   string
+	inject func(fleet *harness.Fleet, vm *harness.VM) error
+	heal   func(fleet *harness.Fleet, vm *harness.VM) error
 }
 
-var disturbances = []disturbance{
+var vmFaults = []vmFault{
 	{"kill", kill, restart},
 	{"freeze", freeze, thaw},
 	{"isolate", isolate, heal},
-	{"deafen", deafen, heal},
-	{"mute", mute, heal},
+	{"deafen", blockInbound, heal},
+	{"mute", blockOutbound, heal},
 	{"lose disk", kill, replaceDisk},
 }
 
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// deafen lets nothing reach a VM that still sends.
-func deafen(fleet *harness.Fleet, vm *harness.VM) error {
+// blockInbound cuts the traffic from all other VMs to a VM; it can still send.
+func blockInbound(fleet *harness.Fleet, vm *harness.VM) error {
 	for _, other := range fleet.VMs {
 		if other != vm {
 			fleet.Cut(other, vm, true)
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// mute lets nothing out of a VM that still receives.
-func mute(fleet *harness.Fleet, vm *harness.VM) error {
+// blockOutbound cuts the traffic from a VM to all others; it can still receive.
+func blockOutbound(fleet *harness.Fleet, vm *harness.VM) error {
 	for _, other := range fleet.VMs {
 		if other != vm {
 			fleet.Cut(vm, other, true)
@@ -68,20 +68,19 @@
 	return nil
 }
 
-// replaceDisk brings a killed VM back with a blank disk, and returns when it
-// counts in place of the lost one in every group: of three disks no second one
-// may be lost before that.
+// replaceDisk restarts a killed VM with an empty disk. It returns once the VM is a voter
+// in every group again: until then, no second of the three disks may be lost.
 func replaceDisk(fleet *harness.Fleet, vm *harness.VM) error {
 	GinkgoHelper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	asked := fleet.VMs[0]
 	if asked == vm {
 		asked = fleet.VMs[1]
 	}
-	// Before the loss is noticed the groups look whole, as they will later.
-	Eventually(ctx, func() bool { return spare(groups(ctx, asked)) }).Should(BeFalse())
-	if err := errors.Join(vm.LoseDisk(), vm.Start()); err != nil {
+	// Wait until the loss is detected; before that the groups look fully replicated too.
+	Eventually(ctx, func() bool { return allTolerateLoss(groups(ctx, asked)) }).Should(BeFalse())
+	if err := errors.Join(vm.WipeDisk(), vm.Start()); err != nil {
 		return err
 	}
 	replace := &call{method: http.MethodPost, path: "/v1/members/" + vm.Name + "/replace"}
@@ -92,35 +91,35 @@
 		}
 		return got.status
 	}).Should(Equal(http.StatusAccepted))
-	Eventually(ctx, func() bool { return whole(groups(ctx, asked), len(fleet.VMs)) }).Should(BeTrue())
+	Eventually(ctx, func() bool { return fullyReplicated(groups(ctx, asked), len(fleet.VMs)) }).Should(BeTrue())
 	return nil
 }
 
-// Lengths of faults and of the times between them.
+// Durations of faults and maximum time between them.
 const (
-	shortestFault = 100 * time.Millisecond
-	longestFault  = 1500 * time.Millisecond
-	longestPeace  = 500 * time.Millisecond
+	shortestFault   = 100 * time.Millisecond
+	longestFault    = 1500 * time.Millisecond
+	longestFaultGap = 500 * time.Millisecond
 )
 
-// disturb brings one VM after the other down, as drawn from random, until ctx
-// ends; then all are up. Two faults in a row may hit different VMs before the
-// first one has caught up. It returns how often each fault came.
-func disturb(ctx context.Context, fleet *harness.Fleet, random *rand.Rand) map[string]int {
+// injectFaults injects random faults into random VMs, one at a time, until ctx ends; all
+// VMs are up when it returns. A fault may begin before the VM of the previous one has
+// caught up. It returns the number of faults by name.
+func injectFaults(ctx context.Context, fleet *harness.Fleet, random *rand.Rand) map[string]int {
 	faults := make(map[string]int)
 	for ctx.Err() == nil {
 		vm := fleet.VMs[random.IntN(len(fleet.VMs))]
-		fault := disturbances[random.IntN(len(disturbances))]
-		Expect(fault.bring(fleet, vm)).To(Succeed())
-		rest(ctx, shortestFault+time.Duration(random.Int64N(int64(longestFault-shortestFault))))
+		fault := vmFaults[random.IntN(len(vmFaults))]
+		Expect(fault.inject(fleet, vm)).To(Succeed())
+		sleep(ctx, shortestFault+time.Duration(random.Int64N(int64(longestFault-shortestFault))))
 		Expect(fault.heal(fleet, vm)).To(Succeed())
-		rest(ctx, time.Duration(random.Int64N(int64(longestPeace))))
+		sleep(ctx, time.Duration(random.Int64N(int64(longestFaultGap))))
 		faults[fault.name]++
 	}
 	return faults
 }
 
-func rest(ctx context.Context, length time.Duration) {
+func sleep(ctx context.Context, length time.Duration) {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
 	select {
--- a/test/online_test.go
+++ b/test/online_test.go
@@ -52,5 +52,5 @@
 		var refused *openai.APIError
 		Expect(errors.As(err, &refused)).To(BeTrue(), "%v", err)
 		Expect(refused.HTTPStatusCode).To(BeNumerically("<", 500))
-	}, NodeTimeout(2*patience))
+	}, NodeTimeout(2*waitTimeout))
 })
--- a/test/orders_test.go
+++ b/test/orders_test.go
@@ -15,7 +15,8 @@
 	"slateway.example/slateway/test/harness"
 )
 
-// orderSettings let gates order engines, and a lost one be followed soon.
+// orderSettings enable orders to engines, with a short lease so that another gate takes
+// over quickly.
 const orderSettings = `
 [orders]
 enabled = true
@@ -25,7 +26,7 @@
 weight_bytes = 1000
 `
 
-// versioned is a template whose teams name the version of their model.
+// versioned is a template whose teams set the version of their model.
 const versioned = `name = "newsdesk"
 
 [[parameters]]
@@ -39,7 +40,7 @@
 version = "${version}"
 `
 
-// ordersOf reads an engine's state as orders made it.
+// ordersOf returns an engine's report of its models and the orders that it applied.
 func ordersOf(ctx context.Context, upstream *harness.Upstream) engine.OrderReport {
 	GinkgoHelper()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+upstream.Address+"/v1/orders", nil)
@@ -52,10 +53,10 @@
 	return report
 }
 
-// setVersion makes a team ask for a version of the model.
+// setVersion creates or changes a team so that it uses a version of the model.
 func setVersion(ctx context.Context, operators []string, team, version string) {
 	GinkgoHelper()
-	got, err := getTeam(team).persist(ctx, operators, 0)
+	got, err := getTeam(team).sendUntilDefinite(ctx, operators, 0)
 	Expect(err).NotTo(HaveOccurred())
 	var state teamState
 	if got.status == http.StatusOK {
@@ -64,27 +65,27 @@
 	changed, err := (&call{method: http.MethodPut, path: "/v1/teams/" + team, body: map[string]any{
 		"template": "newsdesk", "parameters": map[string]string{"version": version},
 		"base_revision": state.Revision, "change_id": fmt.Sprintf("%s-to-%s", team, version),
-	}}).persist(ctx, operators, 0)
+	}}).sendUntilDefinite(ctx, operators, 0)
 	Expect(err).NotTo(HaveOccurred())
 	Expect(changed.status).To(Equal(http.StatusOK), string(changed.body))
 }
 
 var _ = Describe("the engines of a place", func() {
-	// An operator gives one team version 2 of a model while another stays on 1.
-	// The gates load 2 beside 1. The gate that orders is killed; another of the
-	// place takes over under a greater fencing number, also for the engine that
-	// does not check it. When nobody asks for version 1 any more it is unloaded,
-	// and at no time is a wanted version without a ready engine.
+	// One team changes to version 2 of a model while another stays on 1, so both must be
+	// loaded. Then the gate that sends orders is killed. Another gate of the place must
+	// take over with a higher fencing number, also for the engine that does not check it,
+	// and unload version 1 once no team uses it. A version in use must always be loaded,
+	// and no engine may apply an order of the old gate after one of the new gate.
 	It("get the versions that teams ask for, also when the ordering gate is lost", func(ctx SpecContext) {
-		options := harness.Options{Settings: quickSettings + orderSettings}
+		options := harness.Options{Settings: shortTimeouts + orderSettings}
 		for i := range 4 {
-			options.VMs = append(options.VMs, harness.VMOptions{Place: local, Gate: true, Keeper: i < 3})
+			options.VMs = append(options.VMs, harness.VMOptions{Place: localPlace, Gate: true, Keeper: i < 3})
 		}
 		fleet := newFleet(options)
 		Expect(fleet.Start()).To(Succeed())
-		checking, err := fleet.StartEngine("wordroom", "checking", local, "--checks-fencing", "--order-time", "50ms")
+		checking, err := fleet.StartEngine("wordroom", "checking", localPlace, "--checks-fencing", "--order-time", "50ms")
 		Expect(err).NotTo(HaveOccurred())
-		ignoring, err := fleet.StartEngine("wordroom", "ignoring", local, "--order-time", "50ms")
+		ignoring, err := fleet.StartEngine("wordroom", "ignoring", localPlace, "--order-time", "50ms")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(fleet.Configure(ctx, "newsdesk", versioned, "guild", token)).To(Succeed())
 		Expect(fleet.WaitReady(ctx, map[string]int{"wordroom": 2})).To(Succeed())
@@ -110,11 +111,11 @@
 		for _, upstream := range []*harness.Upstream{checking, ignoring} {
 			highest := uint64(0)
 			for _, applied := range ordersOf(ctx, upstream).Applied {
-				Expect(applied.Fence).To(BeNumerically(">=", highest), "%s carried out an old order", upstream.Replica)
+				Expect(applied.Fence).To(BeNumerically(">=", highest), "%s applied an outdated order", upstream.Replica)
 				highest = applied.Fence
 			}
 		}
-	}, NodeTimeout(3*patience))
+	}, NodeTimeout(3*waitTimeout))
 })
 
 func enginesWith(ctx context.Context, model announce.Model, engines ...*harness.Upstream) int {
@@ -130,7 +131,7 @@
 	return count
 }
 
-// orderingVM is the VM that sent an order last, by the counters.
+// orderingVM returns the first VM whose counters show that it sent orders, or nil.
 func orderingVM(fleet *harness.Fleet) *harness.VM {
 	GinkgoHelper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
--- a/test/refusals_test.go
+++ b/test/refusals_test.go
@@ -12,14 +12,14 @@
 	"slateway.example/slateway/test/harness"
 )
 
-// badInput is a request that must be refused.
+// badInput is a request that must be refused, and the expected refusal.
 type badInput struct {
 	name     string
 	asked    *call
 	operator bool // sent to the operators' listener
 	status   int
 	reason   string
-	names    string // value or place that the message names
+	names    string // text that the message must contain
 }
 
 func chatCall(body any) *call {
@@ -31,12 +31,12 @@
 	return asked
 }
 
-// chatBody is a request that is answered.
+// chatBody returns a valid chat completion request.
 func chatBody(model string) map[string]any {
 	return map[string]any{"model": model, "max_tokens": 2, "messages": []map[string]string{{"role": "user", "content": "hello"}}}
 }
 
-// maxBody is the default of limits.max_body_bytes.
+// maxBody is the default of the setting limits.max_body_bytes.
 const maxBody = 8 << 20
 
 func badInputs(job string) []badInput {
@@ -76,7 +76,7 @@
 	It("is refused with its reason and remedy, is counted, and loses nothing", func(ctx SpecContext) {
 		fleet, _ := startGuild(ctx, 1)
 		gate := fleet.VMs[0]
-		created, err := createCall("good").persist(ctx, []string{gate.Callers}, 0)
+		created, err := createCall("good").sendUntilDefinite(ctx, []string{gate.Callers}, 0)
 		Expect(err).NotTo(HaveOccurred())
 		var job jobStatus
 		created.decode(&job)
@@ -100,7 +100,7 @@
 		got, err := chatCall(chatBody(model)).send(ctx, gate.Callers)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(got.status).To(Equal(http.StatusOK), "without a deadline: %s", got.body)
-	}, NodeTimeout(2*patience))
+	}, NodeTimeout(2*waitTimeout))
 })
 
 func expectBadInput(ctx context.Context, gate *harness.VM, bad badInput) {
--- a/test/rolling_test.go
+++ b/test/rolling_test.go
@@ -22,7 +22,7 @@
 	"slateway.example/slateway/test/harness"
 )
 
-// readers send streaming requests one after the other until they are stopped.
+// readers sends streaming requests continuously until it is stopped.
 type readers struct {
 	answered atomic.Int64
 	mu       sync.Mutex
@@ -34,7 +34,7 @@
 	for i := range count {
 		r.done.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				// A request that has begun is finished, also after the stop.
+				// A request that has started is completed even after the stop.
 				prompt := fmt.Sprintf("notice %d of reader %d", n, i)
 				if err := readOne(context.WithoutCancel(ctx), caller, prompt, tokens); err != nil {
 					r.fail(err)
@@ -52,15 +52,16 @@
 	r.failures = append(r.failures, err.Error())
 }
 
-func (r *readers) all() []string {
+func (r *readers) allFailures() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]string{}, r.failures...)
 }
 
-// Pace and lengths of answers. Long ones take longer than a gate's listener
-// gives requests that are left when the gate has stopped waiting for them. Short
-// ones leave gates idle, which then wait for the directory's answers alone.
+// Token interval and answer lengths. Long answers take longer than the time that a
+// gate's listener grants to remaining requests once the gate has stopped waiting for
+// them. Short answers leave gates idle, so that a stopping gate waits only until the
+// directory's answers have expired.
 const (
 	streamPace  = "50ms"
 	longAnswer  = 60
@@ -94,31 +95,31 @@
 	return nil
 }
 
-// strictCaller uses the directory as it is meant, and no more: it keeps an
-// answer for its lifetime, connects to one of the gates that it names, and never
-// tries another one.
-type strictCaller struct {
-	gates []string // that it asks
+// strictTransport does no more than the directory's contract requires: it caches an
+// answer for its lifetime, sends each request to one of the listed gates, and does not
+// retry at another gate.
+type strictTransport struct {
+	gates []string // whose directory is queried
 	mu    sync.Mutex
 	known []string
 	until time.Time
 }
 
-// RoundTrip sends the request to one gate of the directory's answer.
-func (s *strictCaller) RoundTrip(request *http.Request) (*http.Response, error) {
-	gate, err := s.pick()
+// RoundTrip sends the request to one of the gates that the directory lists.
+func (s *strictTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+	gate, err := s.pickGate()
 	if err != nil {
 		return nil, err
 	}
 	sent := request.Clone(request.Context())
 	sent.URL.Host = gate
-	// A kept connection may close just as it is used, which says nothing about
-	// the directory.
+	// A reused connection may be closed just as a request is sent on it; that failure
+	// would have nothing to do with the directory.
 	transport := &http.Transport{DisableKeepAlives: true}
 	return transport.RoundTrip(sent)
 }
 
-func (s *strictCaller) pick() (string, error) {
+func (s *strictTransport) pickGate() (string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if time.Now().Before(s.until) {
@@ -126,7 +127,7 @@
 	}
 	var failures []error
 	for _, gate := range s.gates {
-		err := s.ask(gate)
+		err := s.refresh(gate)
 		if err == nil {
 			return s.known[rand.IntN(len(s.known))], nil
 		}
@@ -135,7 +136,7 @@
 	return "", errors.Join(failures...)
 }
 
-func (s *strictCaller) ask(gate string) error {
+func (s *strictTransport) refresh(gate string) error {
 	asked := time.Now()
 	response, err := http.Get("http://" + gate + "/v1/entries")
 	if err != nil {
@@ -147,7 +148,7 @@
 		LifetimeMS int64          `json:"lifetime_ms"`
 	}
 	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil || len(answer.Entries) == 0 {
-		return fmt.Errorf("gate %s names %d gates (status %d): %w", gate, len(answer.Entries), response.StatusCode, err)
+		return fmt.Errorf("directory of gate %s lists %d gates (status %d): %w", gate, len(answer.Entries), response.StatusCode, err)
 	}
 	s.known = nil
 	for _, entry := range answer.Entries {
@@ -157,8 +158,8 @@
 	return nil
 }
 
-// startReaders begins reading through the gates that the directory names: long
-// answers by the client package, short ones strictly.
+// startReaders starts readers through the gates that the directory lists: of long
+// answers with package client, of short answers with strictTransport.
 func startReaders(ctx context.Context, fleet *harness.Fleet) *readers {
 	GinkgoHelper()
 	c, err := client.New(client.Options{Gates: fleet.Callers()})
@@ -166,7 +167,7 @@
 	DeferCleanup(c.Close)
 	running := &readers{}
 	running.start(ctx, openAI(c.HTTPClient()), 2, longAnswer)
-	running.start(ctx, openAI(&http.Client{Transport: &strictCaller{gates: fleet.Callers()}}), 4, shortAnswer)
+	running.start(ctx, openAI(&http.Client{Transport: &strictTransport{gates: fleet.Callers()}}), 4, shortAnswer)
 	return running
 }
 
@@ -178,12 +179,13 @@
 }
 
 var _ = Describe("callers that follow the directory", func() {
-	// An operator restarts all VMs, one after the other, on a working day. The
-	// callers keep the directory's answers for their lifetime, connect by them,
-	// and read streams all the while. None of them may see an error or half an
-	// answer, and each VM must end by itself with 0.
+	// All VMs are restarted in turn while callers read streams through gates that they
+	// take from cached directory answers. No caller may see an error or an incomplete
+	// answer, and each VM must exit with code 0. Guards against gates that exit while
+	// callers may still use them.
 	It("see nothing of a restart of every gate in turn", func(ctx SpecContext) {
-		// Answers live longer than a daemon takes to stop without waiting for them.
+		// The answers' lifetime exceeds the time that a daemon takes to stop if it does not
+		// wait for them to expire.
 		options := threeVMs()
 		options.Settings = strings.Replace(options.Settings, `answer_lifetime = "1s"`, `answer_lifetime = "4s"`, 1)
 		Expect(options.Settings).To(ContainSubstring(`"4s"`))
@@ -195,16 +197,16 @@
 			before := running.answered.Load()
 			Eventually(ctx, running.answered.Load).Should(BeNumerically(">=", before+6))
 			Expect(vm.Terminate()).To(Succeed())
-			code, err := vm.ExitCode(patience)
+			code, err := vm.ExitCode(waitTimeout)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(code).To(BeZero())
 			Expect(vm.Start()).To(Succeed())
 			Expect(fleet.WaitReady(ctx, map[string]int{"wordroom": 3})).To(Succeed())
 			Eventually(ctx, func() []string { return entries(ctx, vm.Callers) }).Should(HaveLen(len(fleet.VMs)))
-			Expect(running.all()).To(BeEmpty())
+			Expect(running.allFailures()).To(BeEmpty())
 		}
 		stop()
 		running.done.Wait()
-		Expect(running.all()).To(BeEmpty())
-	}, NodeTimeout(4*patience))
+		Expect(running.allFailures()).To(BeEmpty())
+	}, NodeTimeout(4*waitTimeout))
 })
--- a/test/standin_test.go
+++ b/test/standin_test.go
@@ -18,45 +18,45 @@
 	"slateway.example/slateway/test/harness"
 )
 
-// announcements is a gate that only takes announcements.
-type announcements struct {
+// announcementRecorder is a gate that only records the last announcement.
+type announcementRecorder struct {
 	mu   sync.Mutex
 	last announce.Announcement
 }
 
-func (a *announcements) ServeHTTP(_ http.ResponseWriter, r *http.Request) {
+func (a *announcementRecorder) ServeHTTP(_ http.ResponseWriter, r *http.Request) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	_ = json.NewDecoder(r.Body).Decode(&a.last)
 }
 
-func (a *announcements) get() announce.Announcement {
+func (a *announcementRecorder) get() announce.Announcement {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.last
 }
 
-func wholeAnswer(request *load.Request, text string) bool {
+func isExpectedAnswer(request *load.Request, text string) bool {
 	return text == engine.Answer(request.Prompt, request.MaxTokens)
 }
 
 var _ = Describe("a stand-in engine", func() {
-	var gate *announcements
+	var gate *announcementRecorder
 	var upstream *harness.Upstream
 	BeforeEach(func() {
-		gate = &announcements{}
+		gate = &announcementRecorder{}
 		server := httptest.NewServer(gate)
 		DeferCleanup(server.Close)
 		var err error
-		upstream, err = newFleet(harness.Options{}).StartEngine("wordroom", "r1", local, "--token-every", "20ms",
+		upstream, err = newFleet(harness.Options{}).StartEngine("wordroom", "r1", localPlace, "--token-every", "20ms",
 			"--announce-every", "100ms", "--leave-grace", "200ms", "--gate", strings.TrimPrefix(server.URL, "http://"))
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(func() bool { return gate.get().Ready }).Should(BeTrue())
 	})
 
-	// stream asks for an answer of 100 tokens and returns once it runs.
+	// stream requests an answer of 100 tokens and returns once the engine runs it.
 	stream := func() chan load.Result {
-		client := load.NewClient([]string{upstream.Address}, "", wholeAnswer)
+		client := load.NewClient([]string{upstream.Address}, "", isExpectedAnswer)
 		answered := make(chan load.Result, 1)
 		go func() {
 			request := load.Request{Model: "small", Prompt: "long", MaxTokens: 100}
@@ -71,9 +71,9 @@
 		Expect(upstream.Terminate()).To(Succeed())
 		Eventually(func() bool { return gate.get().Leaving }).Should(BeTrue())
 		Expect((<-answered).Outcome).To(Equal(load.Answered))
-		code, err := upstream.ExitCode(patience)
+		code, err := upstream.ExitCode(waitTimeout)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(code).To(BeZero(), upstream.Log(1000))
+		Expect(code).To(BeZero(), upstream.LogTail(1000))
 	})
 
 	It("that is killed leaves a log of the runs that it began", func() {
--- a/test/suite_test.go
+++ b/test/suite_test.go
@@ -1,6 +1,5 @@
-// Package test holds the tests of whole processes: gates, keepers and stand-in
-// upstreams that are killed, frozen, cut off and restarted while callers and
-// operators go on.
+// Package test contains tests of whole processes: gates, keepers and simulated upstreams
+// are killed, frozen, cut off and restarted while callers and operators send requests.
 package test
 
 import (
@@ -14,11 +13,12 @@
 	"slateway.example/slateway/test/harness"
 )
 
-// patience bounds each wait for something that must come about. It is far
-// longer than that takes, so that a busy machine changes no verdict.
-const patience = 90 * time.Second
+// waitTimeout limits each wait for a condition. It is much longer than needed, so that
+// tests do not fail on a busy machine.
+const waitTimeout = 90 * time.Second
 
-// raceVariable set to 1 builds the programs with the race detector.
+// raceVariable is the environment variable that, set to 1, builds the programs with the
+// race detector.
 const raceVariable = "SLATEWAY_TEST_RACE"
 
 // programs are built once for all tests.
@@ -26,7 +26,7 @@
 
 func TestProcesses(t *testing.T) {
 	RegisterFailHandler(Fail)
-	SetDefaultEventuallyTimeout(patience)
+	SetDefaultEventuallyTimeout(waitTimeout)
 	SetDefaultEventuallyPollingInterval(50 * time.Millisecond)
 	RunSpecs(t, "whole processes")
 }
@@ -39,11 +39,11 @@
 	Expect(err).NotTo(HaveOccurred())
 })
 
-// local is the place of tests that need only one.
-var local = harness.Place{Name: "glas-a", Region: "scot-central"}
+// localPlace is the place in tests that need only one.
+var localPlace = harness.Place{Name: "glas-a", Region: "scot-central"}
 
-// newFleet lays out a fleet that ends with the test. A failed test shows the
-// end of each VM's log.
+// newFleet creates a fleet that is closed at the end of the test. If the test fails, the
+// end of each VM's log is added to the report.
 func newFleet(options harness.Options) *harness.Fleet {
 	GinkgoHelper()
 	processes, err := harness.New(GinkgoT().TempDir(), programs, options)
@@ -55,7 +55,7 @@
 		}
 		for _, vm := range processes.VMs {
 			if vm.Process != nil {
-				AddReportEntry(vm.Name, vm.Log(4000), ReportEntryVisibilityFailureOrVerbose)
+				AddReportEntry(vm.Name, vm.LogTail(4000), ReportEntryVisibilityFailureOrVerbose)
 			}
 		}
 	})
--- a/test/upstream_test.go
+++ b/test/upstream_test.go
@@ -17,20 +17,20 @@
 	"slateway.example/slateway/test/harness"
 )
 
-// leavingLimit is how long after it announced that it leaves an upstream may
-// still be sent new requests.
+// leavingLimit is how long an upstream may still receive new requests after it has
+// announced that it is leaving.
 const leavingLimit = 2 * time.Second
 
-// completionCall asks for a plain completion of the prompt.
+// completionCall returns a call for a non-streaming completion of the prompt.
 func completionCall(prompt string, tokens int) *call {
 	return &call{method: http.MethodPost, path: "/v1/completions", body: map[string]any{
 		"model": model, "prompt": prompt, "max_tokens": tokens,
 	}}
 }
 
-// askUntil sends completions with prompts of their own through all gates, width
-// at a time, until ctx ends. The answers are given to took, one at a time.
-func askUntil(ctx context.Context, gates []string, width int, header map[string]string, took func(prompt string, got *answer, err error)) *sync.WaitGroup {
+// askUntil sends completions with unique prompts through all gates, width at a time,
+// until ctx ends. It calls record for each answer; the calls do not overlap.
+func askUntil(ctx context.Context, gates []string, width int, header map[string]string, record func(prompt string, got *answer, err error)) *sync.WaitGroup {
 	var mu sync.Mutex
 	var workers sync.WaitGroup
 	for worker := range width {
@@ -40,11 +40,11 @@
 				prompt := fmt.Sprintf("asked %d-%d", worker, i)
 				asked := completionCall(prompt, itemTokens)
 				asked.header = header
-				// A request that has begun ends by itself: whether it ran must be
-				// known, and cutting it off would hide that.
+				// A started request is not cancelled, so that its answer shows whether it
+				// ran.
 				got, err := asked.send(context.WithoutCancel(ctx), gates[(worker+i)%len(gates)])
 				mu.Lock()
-				took(prompt, got, err)
+				record(prompt, got, err)
 				mu.Unlock()
 			}
 		})
@@ -53,10 +53,10 @@
 }
 
 var _ = Describe("an upstream", func() {
-	// An operator takes an engine away under load. It announces that it leaves
-	// to the gates and still takes requests for a while, because gates hear of
-	// it late. Two seconds on, none of the gates may send it anything, online or
-	// batch, and no caller may notice.
+	// An engine is shut down under load. It announces this to the gates, and accepts
+	// requests for a while because the announcement takes time to reach them. After two
+	// seconds no gate may send it online or batch requests, and no caller may see an
+	// error.
 	It("that leaves gets nothing new after two seconds from any gate", func(ctx SpecContext) {
 		fleet, engines := startGuild(ctx, 3, "--leave-grace", "6s", "--slots", "8")
 		submitJob(ctx, fleet.Callers(), "beside", 2000)
@@ -70,23 +70,22 @@
 		leaving := engines[0]
 		Eventually(ctx, func() int { return len(runsOf(engines[:1])) }).Should(BeNumerically(">=", 20))
 		Expect(leaving.Terminate()).To(Succeed())
-		told := time.Now()
-		code, err := leaving.ExitCode(patience)
+		terminated := time.Now()
+		code, err := leaving.ExitCode(waitTimeout)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(code).To(BeZero())
 		stop()
 		workers.Wait()
-		late := lastStart(engines[:1]).Sub(told)
-		AddReportEntry("last request after the announcement by", late.String())
-		Expect(late).To(BeNumerically("<", leavingLimit))
+		delay := lastStart(engines[:1]).Sub(terminated)
+		AddReportEntry("last request after the announcement by", delay.String())
+		Expect(delay).To(BeNumerically("<", leavingLimit))
 		Expect(refused).To(BeZero())
-	}, NodeTimeout(2*patience))
+	}, NodeTimeout(2*waitTimeout))
 
-	// One request crashes each engine that runs it. Its caller sends it again,
-	// fifty times, through all gates. Two engines may be lost before the request
-	// is known for what it is; then it is refused at once and for good, and the
-	// other callers' requests go on.
-	It("is not lost to a request that killed two others, whoever resends it", func(ctx SpecContext) {
+	// A request that crashes every engine that runs it is sent 50 times through all
+	// gates. At most two engines may be lost before the gates identify the request and
+	// refuse it permanently. Other requests must still be answered.
+	It("is not lost to a request that killed two others, whichever gate gets it", func(ctx SpecContext) {
 		fleet, engines := startGuild(ctx, 5)
 		gates := fleet.Callers()
 		var last *answer
@@ -112,53 +111,53 @@
 			Expect(got.status).To(Equal(http.StatusOK), string(got.body))
 			Expect(string(got.body)).To(ContainSubstring(engine.Answer(prompt, itemTokens)))
 		}
-	}, NodeTimeout(2*patience))
+	}, NodeTimeout(2*waitTimeout))
 })
 
 var _ = Describe("a caller", func() {
-	// Engines are killed, frozen and started again while callers send requests
-	// that must not run twice. A caller that is told "ran: no" sends its request
-	// anew elsewhere; had it run, a plate would be confirmed twice.
-	It("that is told its request was not run, is told the truth", func(ctx SpecContext) {
+	// Engines are killed, frozen and restarted while callers send non-idempotent requests.
+	// A caller that receives "ran: no" may resend its request, so a request with that
+	// answer must not have run; otherwise it would run twice.
+	It("that receives ran: no for a request can rely on it", func(ctx SpecContext) {
 		fleet, engines := startGuild(ctx, 3, "--slots", "4")
 		asking, stop := context.WithCancel(ctx)
-		told := map[string]string{}
+		outcomes := map[string]string{}
 		workers := askUntil(asking, fleet.Callers(), 12, map[string]string{nonIdempotentHeader: "true"}, func(prompt string, got *answer, err error) {
 			switch {
 			case err != nil:
-				told[prompt] = "unknown"
+				outcomes[prompt] = "unknown"
 			case got.status == http.StatusOK:
-				told[prompt] = "answered"
+				outcomes[prompt] = "answered"
 			default:
-				told[prompt] = got.refusal().Error.Ran
+				outcomes[prompt] = got.refusal().Error.Ran
 			}
 		})
 		random := rand.New(rand.NewPCG(7, 7))
 		for range 8 {
-			disturbUpstream(engines[random.IntN(len(engines))], random)
+			injectUpstreamFault(engines[random.IntN(len(engines))], random)
 		}
 		stop()
 		workers.Wait()
 		runs := runsOf(engines)
 		counts := map[string]int{}
-		for prompt, ran := range told {
+		for prompt, ran := range outcomes {
 			counts[ran]++
 			Expect(runs[prompt]).To(BeNumerically("<=", 1), "%s ran %d times", prompt, runs[prompt])
 			switch ran {
 			case "no":
-				Expect(runs[prompt]).To(BeZero(), "%s was told not to have run", prompt)
+				Expect(runs[prompt]).To(BeZero(), "%s was reported as not run", prompt)
 			case "answered":
 				Expect(runs[prompt]).To(Equal(1), "%s was answered", prompt)
 			}
 		}
-		AddReportEntry("requests by what their callers were told", fmt.Sprint(counts))
+		AddReportEntry("requests by the outcome that their callers received", fmt.Sprint(counts))
 		Expect(counts["answered"]).To(BeNumerically(">", 100))
-	}, NodeTimeout(2*patience))
+	}, NodeTimeout(2*waitTimeout))
 
-	// A publisher's job fills all engines, with items that take two seconds. A
-	// clerk's request comes: engines admit in order, so batch that stands before
-	// it in an engine's queue, or does not give its slot up, holds it up for as
-	// long as an item takes.
+	// A batch job with items of two seconds fills all engines, and online requests are
+	// sent. Engines admit requests in order: a batch item that is ahead of an online
+	// request in an engine's queue, or does not give up its slot, delays it by up to the
+	// item's duration.
 	It("does not wait behind batch at an engine", func(ctx SpecContext) {
 		fleet, engines := startGuild(ctx, 2, "--slots", "4", "--token-every", "250ms")
 		submitJob(ctx, fleet.Callers(), "filling", 1000)
@@ -173,11 +172,11 @@
 		Expect(len(waits)).To(BeNumerically(">=", requests))
 		AddReportEntry("waits for a slot beside a full batch: median and longest", fmt.Sprint(waits[len(waits)/2], " ", waits[len(waits)-1]))
 		Expect(waits[len(waits)-1]).To(BeNumerically("<", 500*time.Millisecond))
-	}, NodeTimeout(2*patience))
+	}, NodeTimeout(2*waitTimeout))
 })
 
-// waitsOf are the sorted times that requests, whose prompts begin with a
-// prefix, waited for a slot at the engines.
+// waitsOf returns the sorted times for which requests whose prompts begin with prefix
+// waited for a slot at the engines.
 func waitsOf(engines []*harness.Upstream, prefix string) []time.Duration {
 	GinkgoHelper()
 	var waits []time.Duration
@@ -194,9 +193,8 @@
 	return waits
 }
 
-// disturbUpstream kills an upstream and starts it again, or freezes it for a
-// while.
-func disturbUpstream(upstream *harness.Upstream, random *rand.Rand) {
+// injectUpstreamFault kills and restarts an upstream, or freezes it for a random time.
+func injectUpstreamFault(upstream *harness.Upstream, random *rand.Rand) {
 	GinkgoHelper()
 	length := shortestFault + time.Duration(random.Int64N(int64(longestFault)))
 	if random.IntN(2) == 0 {
