--- a/cmd/capacity/losses.go
+++ b/cmd/capacity/losses.go
@@ -133,28 +133,28 @@
 
 func (w *network) stopAndRestart(event string, lost *node) error {
 	lost.stopped = true
-	mates, neighbours := w.inPlace(lost.place), w.inPlace("place-09")
-	if err := w.measureUntil(event, "no gate of its place names it to callers", func() bool { return allMatch(mates, lost.name, notServing) }); err != nil {
+	localNodes, regionNodes := w.inPlace(lost.place), w.inPlace("place-09")
+	if err := w.measureUntil(event, "no gate of its place names it to callers", func() bool { return allMatch(localNodes, lost.name, notServing) }); err != nil {
 		return err
 	}
-	if err := w.measureUntil(event+", then", "no gate of the region names it", func() bool { return !isListed(w, neighbours, lost.name) }); err != nil {
+	if err := w.measureUntil(event+", then", "no gate of the region names it", func() bool { return !isListed(w, regionNodes, lost.name) }); err != nil {
 		return err
 	}
-	if err := w.measureUntil(event+", then", "it counts as lost in its place", func() bool { return allMatch(mates, lost.name, isLost) }); err != nil {
+	if err := w.measureUntil(event+", then", "it counts as lost in its place", func() bool { return allMatch(localNodes, lost.name, isLost) }); err != nil {
 		return err
 	}
 	lost.stopped = false
-	return w.measureUntil("it runs on", "its place serves callers by it again", func() bool { return allMatch(mates, lost.name, isServing) })
+	return w.measureUntil("it runs on", "its place serves callers by it again", func() bool { return allMatch(localNodes, lost.name, isServing) })
 }
 
 func drainGate(w *network) error {
 	drained := w.byRank("place-03", 1)
 	w.send(drained, drained.member.SetDraining(w.now))
-	mates, neighbours := w.inPlace("place-03"), w.inPlace("place-09")
-	if err := w.measureUntil("a gate drains", "no gate of its place names it", func() bool { return allMatch(mates, drained.name, notServing) }); err != nil {
+	localNodes, regionNodes := w.inPlace("place-03"), w.inPlace("place-09")
+	if err := w.measureUntil("a gate drains", "no gate of its place names it", func() bool { return allMatch(localNodes, drained.name, notServing) }); err != nil {
 		return err
 	}
-	return w.measureUntil("a gate drains, then", "no gate of the region names it", func() bool { return !isListed(w, neighbours, drained.name) })
+	return w.measureUntil("a gate drains, then", "no gate of the region names it", func() bool { return !isListed(w, regionNodes, drained.name) })
 }
 
 func isolatePlace(w *network) error {
--- a/cmd/capacity/sockets.go
+++ b/cmd/capacity/sockets.go
@@ -54,13 +54,13 @@
 	defer stop()
 	go spreadLoads(ctx, fleets)
 	time.Sleep(socketWarmUp)
-	counted := func() float64 {
+	totalBytes := func() float64 {
 		return float64(metrics.Value("member.bytes_out") + metrics.Value("member.bytes_in"))
 	}
-	bytesBefore, spentBefore := counted(), processorTime()
+	bytesBefore, spentBefore := totalBytes(), processorTime()
 	time.Sleep(socketWindow)
 	seconds := socketWindow.Seconds() * float64(size)
-	bytes.add(size, (counted()-bytesBefore)/seconds)
+	bytes.add(size, (totalBytes()-bytesBefore)/seconds)
 	processor.add(size, (processorTime()-spentBefore).Seconds()*1e6/seconds)
 	memory.add(size, (heapBytes()-heap)/float64(size)/1024)
 	return nil
--- a/cmd/experiment/fault.go
+++ b/cmd/experiment/fault.go
@@ -54,7 +54,7 @@
 			return known, nil
 		}
 	}
-	return fault{}, fmt.Errorf("unknown fault %q", name)
+	return fault{}, fmt.Errorf("unknown fault %q; see the list of faults in cmd/experiment/fault.go", name)
 }
 
 func sleep(ctx context.Context, length time.Duration) {
--- a/cmd/experiment/mode.go
+++ b/cmd/experiment/mode.go
@@ -46,7 +46,7 @@
 	case modeSlateway:
 		return s.submitJob(ctx, items)
 	}
-	return nil, fmt.Errorf("unknown mode %q", m)
+	return nil, fmt.Errorf("unknown mode %q; use no-batch, uncontrolled, fixed-share or slateway", m)
 }
 
 // sendItemsAsOnline sends items as online requests, width at a time.
--- a/cmd/experiment/overhead.go
+++ b/cmd/experiment/overhead.go
@@ -103,9 +103,9 @@
 	if err != nil {
 		return sample{}, err
 	}
-	bounded, cancel := context.WithTimeout(ctx, length)
+	sampleCtx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
-	summary := load.ClosedLoop(bounded, requests, streams, maxItems, client.Stream).Summary()
+	summary := load.ClosedLoop(sampleCtx, requests, streams, maxItems, client.Stream).Summary()
 	after, err := s.gateUsage()
 	if err != nil {
 		return sample{}, err
--- a/cmd/experiment/run.go
+++ b/cmd/experiment/run.go
@@ -57,7 +57,7 @@
 func run(ctx context.Context, command *cli.Command) error {
 	chosen, ok := workloads[command.String("workload")]
 	if !ok {
-		return fmt.Errorf("unknown workload %q", command.String("workload"))
+		return fmt.Errorf("unknown workload %q; use guild or registry", command.String("workload"))
 	}
 	if policy := command.String("policy"); policy != "" {
 		chosen.batchPolicy = policy
@@ -118,9 +118,9 @@
 	defer cancel()
 	mix := e.workload.mix()
 	items := mix.Requests(rand.New(rand.NewPCG(e.seed, 2)), "batch", maxItems)
-	batching, stopBatch := context.WithCancel(ctx)
+	batchCtx, stopBatch := context.WithCancel(ctx)
 	defer stopBatch()
-	done, err := s.startBatch(batching, m, items)
+	done, err := s.startBatch(batchCtx, m, items)
 	if err != nil {
 		return nil, err
 	}
@@ -167,7 +167,7 @@
 	client := load.NewClient(s.Callers(), teamToken, func(request *load.Request, text string) bool {
 		return text == engine.Answer(request.Prompt, request.MaxTokens)
 	})
-	offering, cancel := context.WithTimeout(ctx, e.length+answerTimeout)
+	loadCtx, cancel := context.WithTimeout(ctx, e.length+answerTimeout)
 	defer cancel()
-	return load.OpenLoop(offering, arrivals, requests, maxOpen, client.Stream)
+	return load.OpenLoop(loadCtx, arrivals, requests, maxOpen, client.Stream)
 }
--- a/cmd/slatewayd/main.go
+++ b/cmd/slatewayd/main.go
@@ -91,7 +91,7 @@
 	if _, err := loadSettings(command); err != nil {
 		return err
 	}
-	fmt.Println("the settings are good")
+	fmt.Println("the settings are valid")
 	return nil
 }
 
--- a/cmd/slatewayd/site.go
+++ b/cmd/slatewayd/site.go
@@ -41,8 +41,8 @@
 	for {
 		site, err := daemon.NewSite(loaded, platform.Edge(), log)
 		if err == nil {
-			running, stop := context.WithCancel(ctx)
-			go watchSettings(running, command, site)
+			siteCtx, stop := context.WithCancel(ctx)
+			go watchSettings(siteCtx, command, site)
 			err = site.Run(ctx)
 			stop()
 		}
@@ -104,11 +104,11 @@
 			continue
 		}
 		last = text
-		fresh, err := settings.Parse(string(text))
+		reloaded, err := settings.Parse(string(text))
 		if err != nil {
 			site.RefuseReload(err)
 			continue
 		}
-		site.Reload(fresh)
+		site.Reload(reloaded)
 	}
 }
--- a/test/config_test.go
+++ b/test/config_test.go
@@ -56,9 +56,9 @@
 		var base uint64
 		for round := range 10 {
 			var answers [4]*answer
-			var asked sync.WaitGroup
+			var senders sync.WaitGroup
 			for i := range answers {
-				asked.Go(func() {
+				senders.Go(func() {
 					defer GinkgoRecover()
 					var err error
 					change := putTeam("racers", base, fmt.Sprintf("r%d-%d", round, i), 1+round*10+i)
@@ -66,7 +66,7 @@
 					Expect(err).NotTo(HaveOccurred())
 				})
 			}
-			asked.Wait()
+			senders.Wait()
 			winner := -1
 			for i, got := range answers {
 				if got.status == http.StatusOK {
--- a/test/force_test.go
+++ b/test/force_test.go
@@ -29,21 +29,21 @@
 			options := threeVMs()
 			options.PeerLinks = true
 			fleet, _ := startSite(ctx, options, 1)
-			missing := fleet.VMs[2]
+			affected := fleet.VMs[2]
 			for _, gate := range fleet.Callers() {
 				Eventually(ctx, func() error { return checkServed(ctx, gate, token) }).Should(Succeed())
 			}
-			Expect(fault.inject(fleet, missing)).To(Succeed())
+			Expect(fault.inject(fleet, affected)).To(Succeed())
 			replace := []string{"team", "set", "--team-token", "another-token", "--wait", "guild"}
 			_, _, err := fleet.Ctl(ctx, replace...)
 			Expect(err).NotTo(HaveOccurred())
 
-			expectRefused(ctx, fleet, missing)
-			Expect(fault.heal(fleet, missing)).To(Succeed())
+			expectRefused(ctx, fleet, affected)
+			Expect(fault.heal(fleet, affected)).To(Succeed())
 			for end := time.Now().Add(2 * time.Second); time.Now().Before(end); {
-				expectRefused(ctx, fleet, missing)
+				expectRefused(ctx, fleet, affected)
 			}
-			Eventually(ctx, func() error { return checkServed(ctx, missing.Callers, "another-token") }).Should(Succeed())
+			Eventually(ctx, func() error { return checkServed(ctx, affected.Callers, "another-token") }).Should(Succeed())
 		},
 		Entry("because it was frozen", vmFault{"freeze", freeze, thaw}, NodeTimeout(3*waitTimeout)),
 		Entry("because it was cut off", vmFault{"isolate", isolate, heal}, NodeTimeout(3*waitTimeout)),
@@ -59,14 +59,14 @@
 	return err
 }
 
-// expectRefused checks that no gate serves the replaced token. Only the gate missing
+// expectRefused checks that no gate serves the replaced token. Only the gate affected
 // may fail to answer.
-func expectRefused(ctx context.Context, fleet *harness.Fleet, missing *harness.VM) {
+func expectRefused(ctx context.Context, fleet *harness.Fleet, affected *harness.VM) {
 	GinkgoHelper()
 	for _, vm := range fleet.VMs {
 		got, err := completionWithToken(token).send(ctx, vm.Callers)
 		if err != nil {
-			Expect(vm).To(Equal(missing))
+			Expect(vm).To(Equal(affected))
 			continue
 		}
 		Expect(got.status).NotTo(Equal(http.StatusOK), "%s served the replaced token", vm.Name)
--- a/test/nemesis_test.go
+++ b/test/nemesis_test.go
@@ -74,24 +74,24 @@
 	GinkgoHelper()
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	asked := fleet.VMs[0]
-	if asked == vm {
-		asked = fleet.VMs[1]
+	observer := fleet.VMs[0]
+	if observer == vm {
+		observer = fleet.VMs[1]
 	}
 	// Wait until the loss is detected; before that the groups look fully replicated too.
-	Eventually(ctx, func() bool { return allTolerateLoss(groups(ctx, asked)) }).Should(BeFalse())
+	Eventually(ctx, func() bool { return allTolerateLoss(groups(ctx, observer)) }).Should(BeFalse())
 	if err := errors.Join(vm.WipeDisk(), vm.Start()); err != nil {
 		return err
 	}
 	replace := &call{method: http.MethodPost, path: "/v1/members/" + vm.Name + "/replace"}
 	Eventually(ctx, func() int {
-		got, err := replace.send(ctx, asked.Operators)
+		got, err := replace.send(ctx, observer.Operators)
 		if err != nil {
 			return 0
 		}
 		return got.status
 	}).Should(Equal(http.StatusAccepted))
-	Eventually(ctx, func() bool { return fullyReplicated(groups(ctx, asked), len(fleet.VMs)) }).Should(BeTrue())
+	Eventually(ctx, func() bool { return fullyReplicated(groups(ctx, observer), len(fleet.VMs)) }).Should(BeTrue())
 	return nil
 }
 
--- a/test/rolling_test.go
+++ b/test/rolling_test.go
@@ -190,9 +190,9 @@
 		options.Settings = strings.Replace(options.Settings, `answer_lifetime = "1s"`, `answer_lifetime = "4s"`, 1)
 		Expect(options.Settings).To(ContainSubstring(`"4s"`))
 		fleet, _ := startSite(ctx, options, 3, "--token-every", streamPace, "--slots", "16")
-		reading, stop := context.WithCancel(ctx)
+		readCtx, stop := context.WithCancel(ctx)
 		defer stop()
-		running := startReaders(reading, fleet)
+		running := startReaders(readCtx, fleet)
 		for _, vm := range fleet.VMs {
 			before := running.answered.Load()
 			Eventually(ctx, running.answered.Load).Should(BeNumerically(">=", before+6))
--- a/test/upstream_test.go
+++ b/test/upstream_test.go
@@ -60,9 +60,9 @@
 	It("that leaves gets nothing new after two seconds from any gate", func(ctx SpecContext) {
 		fleet, engines := startGuild(ctx, 3, "--leave-grace", "6s", "--slots", "8")
 		submitJob(ctx, fleet.Callers(), "beside", 2000)
-		asking, stop := context.WithCancel(ctx)
+		askCtx, stop := context.WithCancel(ctx)
 		refused := 0
-		workers := askUntil(asking, fleet.Callers(), 6, nil, func(_ string, got *answer, err error) {
+		workers := askUntil(askCtx, fleet.Callers(), 6, nil, func(_ string, got *answer, err error) {
 			if err != nil || got.status != http.StatusOK {
 				refused++
 			}
@@ -120,9 +120,9 @@
 	// answer must not have run; otherwise it would run twice.
 	It("that receives ran: no for a request can rely on it", func(ctx SpecContext) {
 		fleet, engines := startGuild(ctx, 3, "--slots", "4")
-		asking, stop := context.WithCancel(ctx)
+		askCtx, stop := context.WithCancel(ctx)
 		outcomes := map[string]string{}
-		workers := askUntil(asking, fleet.Callers(), 12, map[string]string{nonIdempotentHeader: "true"}, func(prompt string, got *answer, err error) {
+		workers := askUntil(askCtx, fleet.Callers(), 12, map[string]string{nonIdempotentHeader: "true"}, func(prompt string, got *answer, err error) {
 			switch {
 			case err != nil:
 				outcomes[prompt] = "unknown"
