--- a/cmd/experiment/fault.go
+++ b/cmd/experiment/fault.go
@@ -40,8 +40,8 @@
 	}},
 	{"lossy-link", degradeLink},
 	{"silent-connections", func(_ context.Context, s *site) error {
-		s.engines[0].LocalLink.SilenceOpen()
-		s.engines[0].RemoteLink.SilenceOpen()
+		s.engines[0].LocalLink.BlackholeOpen()
+		s.engines[0].RemoteLink.BlackholeOpen()
 		return nil
 	}},
 	{"poison", sendPoisonRequests},
--- a/cmd/slatewayd/site.go
+++ b/cmd/slatewayd/site.go
@@ -80,7 +80,7 @@
 	defer signal.Stop(hangups)
 	path, err := settingsPath(command)
 	if err != nil {
-		site.RefuseReload(err)
+		site.RejectReload(err)
 		return
 	}
 	ticker := time.NewTicker(settingsPollInterval)
@@ -97,7 +97,7 @@
 		}
 		text, err := os.ReadFile(path)
 		if err != nil {
-			site.RefuseReload(err)
+			site.RejectReload(err)
 			continue
 		}
 		if !forced && bytes.Equal(text, last) {
@@ -106,7 +106,7 @@
 		last = text
 		reloaded, err := settings.Parse(string(text))
 		if err != nil {
-			site.RefuseReload(err)
+			site.RejectReload(err)
 			continue
 		}
 		site.Reload(reloaded)
