--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -248,7 +248,7 @@
 func (l *Log) fail(cause error) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.failed = fmt.Errorf("a write to the log in %s failed; it accepts no more appends until the process is restarted: %w", l.folder, cause)
+	l.failed = fmt.Errorf("a write to the log in %s failed; it accepts no more appends until the log is opened again: %w", l.folder, cause)
 	for _, call := range l.queue {
 		call.result <- l.failed
 	}
