--- a/internal/gate/orders/shell.go
+++ b/internal/gate/orders/shell.go
@@ -22,7 +22,7 @@
 // Keepers grants the tenure to order engines.
 type Keepers interface {
 	AcquireTenure(ctx context.Context, name, holder string) (*keeperapi.TenureResponse, error)
-	LeaveTenure(ctx context.Context, name, holder string) error
+	ReleaseTenure(ctx context.Context, name, holder string) error
 }
 
 // Policies provides the teams' policies.
@@ -103,7 +103,7 @@
 	calls.Wait()
 	releaseCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer cancel()
-	if err := s.options.Keepers.LeaveTenure(releaseCtx, tenurePrefix+s.options.Place, s.options.Holder); err != nil {
+	if err := s.options.Keepers.ReleaseTenure(releaseCtx, tenurePrefix+s.options.Place, s.options.Holder); err != nil {
 		s.options.Log.Info("cannot release the tenure to order engines; it ends with its lease", zap.Error(err))
 	}
 }
--- a/internal/keeper/keeperclient/tenure.go
+++ b/internal/keeper/keeperclient/tenure.go
@@ -14,8 +14,8 @@
 	return call(ctx, c, keeperapi.ConfigGroup, 0, keeperapi.AcquireTenure, request)
 }
 
-// LeaveTenure releases a tenure, so that another holder can acquire it at once.
-func (c *Client) LeaveTenure(ctx context.Context, name, holder string) error {
+// ReleaseTenure releases a tenure, so that another holder can acquire it at once.
+func (c *Client) ReleaseTenure(ctx context.Context, name, holder string) error {
 	request := &keeperapi.TenureRequest{Name: name, Holder: holder, Leaving: true}
 	_, err := call(ctx, c, keeperapi.ConfigGroup, 0, keeperapi.AcquireTenure, request)
 	return err
