--- a/internal/control/follow_test.go
+++ b/internal/control/follow_test.go
@@ -43,9 +43,9 @@
 	return nil, errors.New("not implemented by this fake")
 }
 
-func (m *member) Locate(context.Context) {}
+func (m *member) LocateLeaders(context.Context) {}
 
-func (m *member) NoteCandidates(members []quorum.Member) {
+func (m *member) RecordCandidates(members []quorum.Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.candidates = append(m.candidates, members...)
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -40,9 +40,9 @@
 	Members() []quorum.Member
 	Candidates() []quorum.Member
 	Known() []quorum.Member
-	NoteCandidates(members []quorum.Member)
-	// Locate updates what is known of the groups that this VM is not a member of.
-	Locate(ctx context.Context)
+	RecordCandidates(members []quorum.Member)
+	// LocateLeaders updates what is known of the groups that this VM is not a member of.
+	LocateLeaders(ctx context.Context)
 	Retire(ctx context.Context, vms []string) (left []string, err error)
 }
 
@@ -158,12 +158,10 @@
 const maxLag = 500 * time.Millisecond
 
 // InContact reports whether this VM is, or follows, the leader of the configuration group
-// and has received what the leader has committed.
-//
-// A VM that is cut off from the others would report to its gates that nothing has changed
-// and acknowledge announcements of replicas that no gate learns of. It detects this
-// within two election timeouts, when the leader's heartbeats stop. A VM that receives
-// heartbeats but no entries would do the same; it detects its lag from the heartbeats.
+// and has received what the leader has committed. A VM that is cut off would report to its
+// gates that nothing has changed and acknowledge replicas that no gate learns of. It detects
+// this within two election timeouts, when the leader's heartbeats stop; a VM that receives
+// heartbeats but no entries detects its lag from the heartbeats.
 func (s *Service) InContact() bool {
 	_, known := s.options.Group.Leader(keeperapi.ConfigGroup)
 	lag := s.options.Group.Lag(keeperapi.ConfigGroup)
--- a/internal/control/share.go
+++ b/internal/control/share.go
@@ -108,7 +108,7 @@
 	}
 	go func() {
 		defer s.locating.Store(false)
-		s.options.Group.Locate(ctx)
+		s.options.Group.LocateLeaders(ctx)
 	}()
 }
 
@@ -223,7 +223,7 @@
 	s.mu.Lock()
 	s.contacts[request.From] = time.Now()
 	s.mu.Unlock()
-	s.options.Group.NoteCandidates(request.Candidates)
+	s.options.Group.RecordCandidates(request.Candidates)
 	changed := s.merge(request.Replicas, request.Gates)
 	if s.mergeDepartures(request.Departures) || changed {
 		s.persist()
--- a/internal/replica/locate.go
+++ b/internal/replica/locate.go
@@ -28,10 +28,10 @@
 	foundAt time.Time
 }
 
-// Locate searches for the leaders of the groups for which this VM neither knows a
+// LocateLeaders searches for the leaders of the groups for which this VM neither knows a
 // leader nor has located one recently, because it is not, or no longer, a member.
 // Members and calls that need a leader use the results.
-func (h *Host) Locate(ctx context.Context) {
+func (h *Host) LocateLeaders(ctx context.Context) {
 	for id := range h.Groups() {
 		if _, known := h.Leader(id); !known && h.locatedLeaderAge(id) > locatedLeaderTTL {
 			h.searchLeader(ctx, id)
--- a/internal/replica/locate_test.go
+++ b/internal/replica/locate_test.go
@@ -48,10 +48,10 @@
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	// A search may find no leader, and a VM that was just removed follows its last
-	// leader for an election timeout; the caller of Locate repeats it.
+	// leader for an election timeout; the caller of LocateLeaders repeats it.
 	var stores []string
 	c.eventually("calls are redirected to the leader, and the members are known", func() bool {
-		control.host.Locate(ctx)
+		control.host.LocateLeaders(ctx)
 		stores = nil
 		for _, m := range control.host.Members() {
 			if m.Class == "store" {
--- a/internal/replica/replacement.go
+++ b/internal/replica/replacement.go
@@ -30,8 +30,8 @@
 	h.candidates[member.ID] = candidate{member: member, lastContact: time.Now()}
 }
 
-// NoteCandidates records blank members that contacted another VM.
-func (h *Host) NoteCandidates(members []quorum.Member) {
+// RecordCandidates records blank members that contacted another VM.
+func (h *Host) RecordCandidates(members []quorum.Member) {
 	for _, member := range members {
 		h.recordCandidate(member)
 	}
