--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -13,7 +13,7 @@
 	"slateway.example/slateway/internal/settings"
 )
 
-// reasonDraining is the reason given for requests refused late in a drain.
+// reasonDraining is the reason of requests that are refused near the end of a drain.
 const reasonDraining apierr.Reason = "gate_draining"
 
 // drainPoll is how often a draining gate checks whether it has finished.
--- a/internal/daemon/sitegate.go
+++ b/internal/daemon/sitegate.go
@@ -49,8 +49,8 @@
 }
 
 const (
-	// answerLifetimesKept is for how many lifetimes some callers keep using a directory
-	// answer.
+	// answerLifetimesKept is the number of lifetimes for which some callers keep using
+	// a directory answer.
 	answerLifetimesKept = 3
 	// drainReserve is the part of the drain timeout that is kept for ending the
 	// process.
--- a/internal/daemon/standstill.go
+++ b/internal/daemon/standstill.go
@@ -26,11 +26,11 @@
 // It returns by how much the second was overdue on each clock, and whether that is
 // long enough to log.
 func detectPause(last, now time.Time, interval time.Duration) (processPause, bool) {
-	s := processPause{
+	pause := processPause{
 		monotonic: now.Sub(last) - interval,
 		wall:      now.Round(0).Sub(last.Round(0)) - interval, // Round strips the monotonic reading
 	}
-	return s, s.monotonic >= minLoggedPause || s.wall.Abs() >= minLoggedPause
+	return pause, pause.monotonic >= minLoggedPause || pause.wall.Abs() >= minLoggedPause
 }
 
 // watchForPauses logs pauses of the process until ctx ends. After a VM was frozen,
@@ -47,8 +47,8 @@
 		case <-ticker.C:
 		}
 		now := time.Now()
-		if s, long := detectPause(last, now, pauseCheckInterval); long {
-			log.Warn("the process was paused, or the system time was changed", zap.Duration("steady_clock", s.monotonic), zap.Duration("time_of_day", s.wall))
+		if pause, long := detectPause(last, now, pauseCheckInterval); long {
+			log.Warn("the process was paused, or the system time was changed", zap.Duration("steady_clock", pause.monotonic), zap.Duration("time_of_day", pause.wall))
 		}
 		last = now
 	}
