--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -28,7 +28,7 @@
 )
 
 // Retention is the time for which an outcome is kept after its claim ended. A key sent
-// again after that runs again; the API documents this to callers.
+// again after that runs again.
 const Retention = 24 * time.Hour
 
 // State is the state of a claimed request.
@@ -135,10 +135,8 @@
 
 // Claim grants the request to the first attempt that claims it. A resend of the same
 // attempt is granted again, since its gate may not have received the answer and has sent
-// nothing yet; any other attempt gets the state of the request.
-//
-// The session must be open: a claim of a gate whose session the keepers have already
-// ended would never end itself.
+// nothing yet; any other attempt gets the state of the request. The session must be open:
+// a claim of a gate whose session the keepers have already ended would never end itself.
 func (t *Table) Claim(request Request, sessionOpen bool) (Answer, *apierr.Error) {
 	if request.Team == "" || request.Key == "" || request.ID == "" {
 		return Answer{}, apierr.New(apierr.Invalid, ReasonInvalidClaim, "set team, key and claim ID", "the claim is incomplete")
@@ -225,11 +223,10 @@
 }
 
 // free ends a claim whose request was not sent, so that another attempt can run it. A
-// claim that has ended as unknown in the meantime stays unknown.
-//
-// A delayed copy of the claim may reach the log after this. If it were granted, no gate
-// would use it, and the key would stay running for as long as the gate's session. So the
-// claim's ID is kept in the entry, and copies are rejected.
+// claim that has ended as unknown in the meantime stays unknown. The claim's ID is kept in
+// the entry, because a delayed copy of the claim may reach the log after this and must be
+// rejected: no gate would use its grant, and the key would stay running for as long as the
+// gate's session.
 func (t *Table) free(at key, id string, now instant.Micros) {
 	existing, found := t.claims[at]
 	switch {
--- a/internal/control/follow.go
+++ b/internal/control/follow.go
@@ -94,13 +94,10 @@
 const startupPeriod = 3 * time.Second
 
 // hasJustStarted reports whether this VM has started so recently that no leader may have
-// been elected yet.
-//
-// When all processes of a site restart together, gates would have no routes for their
-// callers until a leader is elected. The routes on this VM's disk were committed, so a
-// gate without routes may use them; its next long poll, which needs a leader, brings
-// newer routes and never older ones. A VM that has run for longer has lost contact with
-// others that may hold newer routes, so the gate must ask those.
+// been elected yet. A gate without routes may then use the routes on this VM's disk: they
+// were committed, and its next long poll, which needs a leader, brings newer ones and never
+// older ones. A VM that has run for longer has lost contact with others that may hold newer
+// routes, so the gate must ask those.
 func (s *Service) hasJustStarted() bool { return time.Since(s.started) < startupPeriod }
 
 // batchDelayPerFollower is the delay per waiting gate for which roster changes are
--- a/internal/control/invite.go
+++ b/internal/control/invite.go
@@ -30,11 +30,9 @@
 )
 
 // inviteGates calls the gates that this VM knew before its restart and that have not
-// reported since.
-//
-// A gate has no disk and knows only the few control VMs in its settings. If all VMs lose
-// power and these few are the last to come back, the gates would find no control VM and
-// keep their callers waiting without routes.
+// reported since. A gate has no disk and knows only the few control VMs in its settings. If
+// all VMs lose power and these few are the last to come back, the gates would find no
+// control VM and keep their callers waiting without routes.
 func (s *Service) inviteGates(ctx context.Context, known []roster.Gate) {
 	// Control VMs that start at the same time begin with different gates.
 	order := func(g roster.Gate) uint64 { return xxhash.Sum64String(s.options.Address + "|" + g.VM) }
--- a/internal/control/journal.go
+++ b/internal/control/journal.go
@@ -15,13 +15,11 @@
 	"slateway.example/slateway/internal/wal"
 )
 
-// journal persists the replicas and gates that a control VM knows.
-//
-// When all processes of the system restart at once, the replicas keep running. If a
-// control VM learned of them only from their next heartbeats, they would get no requests
-// for seconds. The file also records which replicas leave: a replica that was promised no
-// more requests must get none after a restart either, so a change is written to disk
-// before it is acknowledged.
+// journal persists the replicas and gates that a control VM knows. The replicas keep running
+// when all processes of the system restart at once, and a control VM that learned of them
+// only from their next heartbeats would route no requests to them for seconds. The file also
+// records which replicas leave: a replica that was promised no more requests must get none
+// after a restart either, so a change is written to disk before it is acknowledged.
 type journal struct {
 	path string
 	log  *zap.Logger
--- a/internal/keeper/gatelease.go
+++ b/internal/keeper/gatelease.go
@@ -6,15 +6,14 @@
 	"time"
 )
 
-// gateLeases records, on the leader of the configuration group, the revision
-// that each gate has acknowledged and the end of its configuration lease.
+// gateLeases records, on the leader of the configuration group, the revision that each
+// gate has acknowledged and the end of its configuration lease.
 //
-// The leases are not logged, because the renewals of 420 gates would be most of
-// the log's entries. A change of leader is safe all the same: a lease starts when
-// the gate sends its request, and a leader grants it only after a majority has
-// confirmed its leadership. All leases of an old leader have therefore expired
-// one lease time after a new leader's election, and until then the new leader
-// reports no revision as in force.
+// The leases are not logged, because the renewals of 420 gates would be most of the log's
+// entries. A change of leader is safe all the same: a lease starts when the gate sends its
+// request, and a leader grants it only after a majority has confirmed its leadership. All
+// leases of an old leader have therefore expired one lease time after a new leader's
+// election, and until then the new leader reports no revision as in force.
 type gateLeases struct {
 	mu      sync.Mutex
 	gates   map[string]gateLease // by VM
--- a/internal/keeper/jobcalls.go
+++ b/internal/keeper/jobcalls.go
@@ -53,17 +53,11 @@
 	return machine, nil
 }
 
-// leaderMachine returns the machine of a group that this VM leads, with all entries
-// from before its term applied.
-//
-// It runs one read barrier per term, not one per call as machineAfterBarrier does;
-// otherwise the periodic calls of idle gates would cause most of the messages
-// between keepers. The barrier is needed once, because a new leader that has not
-// applied the last entries would not know all open sessions.
-//
-// A leader that was replaced without noticing may still answer from this state, so
-// it is used for hints only: leases and results need a majority anyway, and a
-// heartbeat to a deposed leader renews nothing at its successor.
+// leaderMachine returns the machine of a group that this VM leads, with all entries from
+// before its term applied, since a new leader may not know all open sessions before. It runs
+// one read barrier per term; one per call would make the calls of idle gates most of the
+// messages between keepers. A replaced leader may still answer from this state: it is used
+// for hints, and for heartbeats, which renew nothing at the leader's successor.
 func (s *Service) leaderMachine(ctx context.Context, group uint32) (*JobMachine, error) {
 	machine, err := s.machine(group)
 	if err != nil || s.termConfirmed(group) {
--- a/internal/keeper/keeperclient/client.go
+++ b/internal/keeper/keeperclient/client.go
@@ -183,12 +183,10 @@
 		"no keeper answered in time: %v", cause).WithRan(a.ran).WithRetryAfter(maxRetryDelay)
 }
 
-// chooseAddress returns the address to call: the known leader, the hinted leader or
-// else the next address in turn, for which hinted is false.
-//
-// It skips the failed address if there is another one. A frozen leader remains the
-// last known leader, and a second attempt, with twice the timeout, would exceed the
-// deadline of a caller that waits for one second.
+// chooseAddress returns the address to call: the known leader, the hinted leader or else
+// the next address in turn, for which hinted is false. It skips the failed address if there
+// is another one: a frozen leader remains the last known leader, and a second attempt, with
+// twice the timeout, would exceed the deadline of a caller that waits for one second.
 func (c *Client) chooseAddress(group uint32, failed string) (address string, hinted bool) {
 	hint := c.hint(group)
 	known := c.addresses()
--- a/internal/keeper/offers.go
+++ b/internal/keeper/offers.go
@@ -16,17 +16,14 @@
 	noOfferWait = time.Hour
 )
 
-// offers distributes items among the gates that wait for some. The least loaded
-// gates get an offer first, each for no more than its share.
+// offers distributes items among the gates that wait for some: the least loaded first, each
+// for no more than its share. Items that a gate does not lease are offered to the next one
+// when the offer, which is only a hint, expires.
 //
-// This prevents a thundering herd, in which a new job wakes all waiting gates, all
-// of them ask for items at once, and the leader spends its CPU time on empty
-// answers. It also keeps the first gate from leasing all items of a job: its engines
-// would be full while others are idle, each item would take several times as long,
-// and online requests would preempt it.
-//
-// An offer is a hint and not binding. Items that a gate does not lease are offered
-// to the next one when the offer expires.
+// Without offers a new job would wake all waiting gates, and the leader would spend its CPU
+// time on empty answers. The first gate would lease all items: its engines would be full
+// while others are idle, each item would take several times as long, and online requests
+// would preempt it.
 type offers struct {
 	mu      sync.Mutex
 	open    map[offerKey]offer
--- a/internal/keeper/tenures.go
+++ b/internal/keeper/tenures.go
@@ -30,13 +30,11 @@
 	at    time.Time
 }
 
-// acquireTenure grants a free tenure, an exclusive right with a fencing number,
-// or renews it for its holder.
-//
-// Renewals are not logged, like those of sessions. The holder's lease starts
-// before it sends its request. The leader's timeout is longer and starts at the
-// last call, or at the beginning of its term on a new leader. The holder's lease
-// therefore expires before another holder can be granted the tenure.
+// acquireTenure grants a free tenure, an exclusive right with a fencing number, or renews
+// it for its holder. Renewals are not logged, like those of sessions. The holder's lease
+// starts before it sends its request; the leader's longer timeout starts at the last call,
+// or at the beginning of its term on a new leader. The holder's lease therefore expires
+// before another holder can be granted the tenure.
 func (s *Service) acquireTenure(ctx context.Context, request *keeperapi.TenureRequest) (*keeperapi.TenureResponse, error) {
 	if request.Name == "" || request.Holder == "" {
 		return nil, apierr.New(apierr.Invalid, keeperapi.ReasonInvalidRequest, "set the name of the tenure and its holder", "the tenure request has no name or no holder")
--- a/internal/member/area.go
+++ b/internal/member/area.go
@@ -75,11 +75,9 @@
 }
 
 // Areas returns the areas of other places. A partitioned place has several, one of each
-// publisher.
-//
-// An area that missed a publication while another publisher of its place published is
-// left out, since the delegate has changed. Its entries may contain a gate that has
-// drained since, and callers would be sent to a closed port.
+// publisher. An area that missed a publication while another publisher of its place
+// published is left out, since the delegate has changed: the area may contain a gate that
+// has drained since, and callers would be sent to a closed port.
 func (n *Node) Areas(now time.Time) []PlaceArea {
 	latest := n.areas.lastReceived()
 	var areas []PlaceArea
--- a/internal/order/orderer.go
+++ b/internal/order/orderer.go
@@ -164,12 +164,11 @@
 	return o.lease.Fence > 0 && !o.superseded && now.Add(o.config.SendMargin).Before(o.lease.Until)
 }
 
-// mayOrder reports whether e may receive an order. The previous orderer may have sent
-// one just before its lease ended, and an engine that ignores fencing numbers executes
-// it whenever it arrives, possibly undoing an order of this orderer. Such an engine gets
-// no order until MaxOrderDuration has passed and its state has been queried after that.
-// An engine that checks fencing numbers rejects the delayed order once it has received a
-// newer number: it gets orders as soon as its state has been queried.
+// mayOrder reports whether e may receive an order. An engine that ignores fencing numbers
+// executes a delayed order of the previous orderer whenever it arrives, possibly undoing one
+// of this orderer: it gets no order until MaxOrderDuration has passed and its state has been
+// queried after that. An engine that checks fencing numbers rejects the delayed order once
+// it has received a newer number: it gets orders as soon as its state has been queried.
 func (o *Orderer) mayOrder(now time.Time, e *engine) bool {
 	if e.pending != nil || e.queriedAt.IsZero() || e.Leaving || !e.Ready {
 		return false
--- a/internal/quorum/election.go
+++ b/internal/quorum/election.go
@@ -8,12 +8,11 @@
 	}
 }
 
-// shortenFirstElection shortens the election timeout of a member that has just
-// started to two heartbeats plus a random part of up to half an election timeout.
-//
-// After a stop of all members there is no leader, and nothing is acknowledged until
-// the first election timeout expires. If a leader is alive, its heartbeat arrives
-// first, and members that receive its heartbeats reject a pre-vote.
+// shortenFirstElection shortens the election timeout of a member that has just started to
+// two heartbeats plus a random part of up to half an election timeout. After a stop of all
+// members there is no leader, and nothing is acknowledged until the first election timeout
+// expires. If a leader is alive, its heartbeat arrives first, and members that receive its
+// heartbeats reject a pre-vote.
 func (n *Node) shortenFirstElection() {
 	if n.log.lastIndex() > 0 {
 		n.timeout = min(n.timeout, 2*n.config.HeartbeatTicks+n.config.Rand(n.config.ElectionTicks/2))
--- a/internal/quorum/lag.go
+++ b/internal/quorum/lag.go
@@ -1,12 +1,10 @@
 package quorum
 
-// lag counts the ticks for which a member has not applied an entry that its leader
-// had committed.
-//
-// Appends to a member can be delayed while heartbeats still arrive, over other
-// connections or between retransmissions of a lost packet. Such a member knows its
-// leader and would serve stale state as current. Heartbeats therefore carry the
-// leader's commit index, even beyond the member's log.
+// lag counts the ticks for which a member has not applied an entry that its leader had
+// committed. Appends can be delayed while heartbeats still arrive, over other connections or
+// between retransmissions of a lost packet. Such a member knows its leader and would serve
+// stale state as current. Heartbeats therefore carry the leader's commit index, even beyond
+// the member's log.
 type lag struct {
 	known  uint64 // highest commit index received from a leader
 	target uint64 // value of known when the count began
--- a/internal/replica/bootstrap.go
+++ b/internal/replica/bootstrap.go
@@ -171,11 +171,10 @@
 }
 
 // runJoin adds a blank member to the groups: by bootstrap if the groups exist nowhere,
-// otherwise by announcing itself as a replacement candidate.
-//
-// It continues while the log of a group is empty, even after contact from a leader: an
-// initial member with an empty log votes for nobody, so if that leader failed before
-// it sent the log, the other members could not elect a new one without this member.
+// otherwise by announcing itself as a replacement candidate. It continues while the log of
+// a group is empty, even after contact from a leader: an initial member with an empty log
+// votes for nobody, so if that leader failed before it sent the log, the other members could
+// not elect a new one without this member.
 func (h *Host) runJoin() {
 	interval := minHelloInterval
 	var contacts []string
@@ -320,14 +319,12 @@
 	return decideInitialFromVoters(h.selfMember(), h.config.Voters, responses)
 }
 
-// decideInitialFromSeeds returns the membership with which a blank member that knows
-// only seeds starts, and whether it may start.
-//
-// The VM at the lowest seed address chooses once, after the members at all seed
-// addresses have responded and none of them holds a group. The others adopt the choice
-// if it lists their disk. A VM that starts later, or returns with a blank disk, must
-// not be configured to bootstrap: its group could exist beside the one that the others
-// hold, and both would acknowledge changes.
+// decideInitialFromSeeds returns the membership with which a blank member that knows only
+// seeds starts, and whether it may start. The VM at the lowest seed address chooses once,
+// after the members at all seed addresses have responded and none of them holds a group. The
+// others adopt the choice if it lists their disk. A VM that starts later, or returns with a
+// blank disk, must not be configured to bootstrap: a second group could exist beside the
+// existing one, and both would acknowledge changes.
 func decideInitialFromSeeds(self quorum.Member, seeds []string, bootstrap bool, responses []helloResponse) (quorum.Membership, bool) {
 	members := map[string]quorum.Member{self.Address: self}
 	for _, response := range responses {
--- a/internal/replica/repairview.go
+++ b/internal/replica/repairview.go
@@ -20,12 +20,11 @@
 	self           quorum.ID
 }
 
-// nextChange returns the next membership change of a repair. It keeps no state of its
-// own, so a new leader continues the repair from the membership.
-//
-// A new member joins as a learner, becomes a voter once it holds the whole log, and
-// only then is the old one removed. In the opposite order a group of three would have
-// two voters, and tolerate no loss, for as long as the transfer takes.
+// nextChange returns the next membership change of a repair. It keeps no state of its own,
+// so a new leader continues the repair from the membership. A new member joins as a learner,
+// becomes a voter once it holds the whole log, and only then is the old one removed. In the
+// opposite order a group of three would have two voters, and tolerate no loss, for as long
+// as the transfer takes.
 func nextChange(v repairView) (quorum.Change, bool) {
 	voters := 0
 	for _, member := range v.members {
--- a/internal/replica/sendqueue.go
+++ b/internal/replica/sendqueue.go
@@ -13,14 +13,11 @@
 	envelopes []envelope
 }
 
-// add appends a message. A message beyond the limit is dropped, since the consensus
-// nodes resend whatever is not acknowledged.
-//
-// A heartbeat replaces a queued one of the same group, receiver and term. Otherwise a
-// member that resumes after a pause of seconds would respond to each queued heartbeat,
-// and its leader would interpret the many responses without progress as lost appends.
-// The replacement is at least as strong: it confirms all reads that the earlier one
-// does, and its commit index is one that the member is known to hold.
+// add appends a message, or drops it beyond the limit, since the consensus nodes resend
+// whatever is not acknowledged. A heartbeat replaces a queued one of the same group,
+// receiver and term: after a pause of seconds a member would respond to each, and its leader
+// would take the many responses without progress for lost appends. The newer one confirms
+// all reads of the older, and its commit index is one that the member is known to hold.
 func (q *sendQueue) add(e envelope) {
 	if e.Message.Type == quorum.MsgHeartbeat {
 		for i := range q.envelopes {
--- a/internal/sockets/again.go
+++ b/internal/sockets/again.go
@@ -6,14 +6,11 @@
 	"time"
 )
 
-// DialHedged opens a connection with dial. While no attempt has finished, it starts
-// another one in parallel after delay, then after twice the delay, and so on. It
-// returns the result of the first attempt that finishes, whether a connection or an
-// error, and closes later connections. The delay doubles so that a VM which is slow to
-// accept is not flooded with connections by all of its clients.
-//
-// The system retransmits a lost SYN packet, or one sent to a VM that was still
-// starting, only after a second. That is longer than calls between processes may take.
+// DialHedged opens a connection with dial. While no attempt has finished, it starts another
+// one after delay, then after twice the delay, and so on, so that a slow VM is not flooded.
+// It returns the result of the first attempt that finishes, whether a connection or an error,
+// and closes later connections. The system retransmits a SYN packet that was lost, or sent
+// to a VM still starting, only after a second: longer than calls between processes may take.
 func DialHedged(ctx context.Context, delay time.Duration, dial func(context.Context) (net.Conn, error)) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
