--- a/internal/account/cause.go
+++ b/internal/account/cause.go
@@ -63,7 +63,7 @@
 	took    time.Duration // the time due to the cause; 0 if unknown
 }
 
-// attributeAnswer attributes an attributeAnswer request to a cause. If the answer was overdue, the
+// attributeAnswer attributes an answered request to a cause. If the answer was overdue, the
 // cause is the longest part of the time until its first event.
 func (r *request) attributeAnswer(in *line) attribution {
 	first, pause := time.Duration(in.First), time.Duration(in.Pause)
--- a/internal/account/line.go
+++ b/internal/account/line.go
@@ -46,7 +46,7 @@
 	Time     time.Time `json:"time"`
 	Message  string    `json:"msg"`
 	Request  string    `json:"request_id"`
-	Job      string    `json:"job"` // in lines that give an item's own ID as request_id
+	Job      string    `json:"job"` // in lines whose request_id is the item's own ID
 	VM       string    `json:"vm"`
 	Route    string    `json:"route"`
 	Target   duration  `json:"target"`   // target for the time until the first event
--- a/internal/control/follow.go
+++ b/internal/control/follow.go
@@ -143,8 +143,8 @@
 }
 
 // addChanges adds the roster changes after version since. The caller holds the mutex.
-func (s *Service) addChanges(response *controlapi.FollowResponse, since uint64, takesGateChanges bool) {
-	if !takesGateChanges {
+func (s *Service) addChanges(response *controlapi.FollowResponse, since uint64, acceptsGateChanges bool) {
+	if !acceptsGateChanges {
 		response.Changes = s.table.Since(since)
 		s.table.IncludeAllGates(&response.Changes)
 		return
--- a/internal/control/retire.go
+++ b/internal/control/retire.go
@@ -50,7 +50,7 @@
 		}
 	}
 	if !found {
-		return apierr.New(apierr.NotFound, ReasonUnknownVM, "name a VM that holds jobs", "no known VM %q holds jobs", vm)
+		return apierr.New(apierr.NotFound, ReasonUnknownVM, "name a VM that holds jobs", "VM %q is unknown or holds no jobs", vm)
 	}
 	if left < 2*s.options.Tolerance+1 {
 		return apierr.New(apierr.Conflict, ReasonTooFewVMs, "add a VM first", "only %d VMs would remain to hold the replicated state", left)
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -43,7 +43,7 @@
 	query       url.Values
 	contentType string
 	body        []byte
-	// noResend forbids a resend noResend a server may have received the request.
+	// noResend forbids a resend once a server may have received the request.
 	noResend bool
 }
 
--- a/internal/ctl/config.go
+++ b/internal/ctl/config.go
@@ -89,7 +89,7 @@
 			return nil, &UnreachableError{
 				Call:    fmt.Sprintf("wait for revision %d", revision),
 				Servers: status.WaitingFor,
-				Last:    fmt.Errorf("the gates on these VMs do not serve under it after %s", timeout),
+				Last:    fmt.Errorf("the gates on these VMs did not apply the revision within %s", timeout),
 			}
 		}
 		if err := sleep(ctx, changePoll); err != nil {
--- a/internal/gate/orders/shell.go
+++ b/internal/gate/orders/shell.go
@@ -104,7 +104,7 @@
 	releaseCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer cancel()
 	if err := s.options.Keepers.ReleaseTenure(releaseCtx, tenurePrefix+s.options.Place, s.options.Holder); err != nil {
-		s.options.Log.Info("cannot release the tenure to order engines; it ends with its lease", zap.Error(err))
+		s.options.Log.Info("cannot release the tenure for engine orders, it ends when its lease expires", zap.Error(err))
 	}
 }
 
@@ -145,7 +145,7 @@
 		orderer.SetWants(addDemand(wants[service], service, replicas))
 		actions = append(actions, orderer.Step(time.Now())...)
 		for _, blocked := range orderer.Blocked() {
-			s.options.Log.Debug("model version not yet provided as wanted", zap.String("model", blocked.Model.Name),
+			s.options.Log.Debug("no replica of a wanted model version can be added now", zap.String("model", blocked.Model.Name),
 				zap.String("version", blocked.Model.Version), zap.String("why", blocked.Reason))
 		}
 	}
--- a/internal/keeper/command.go
+++ b/internal/keeper/command.go
@@ -17,7 +17,7 @@
 	End     *endTenure     `cbor:"3,keyasint,omitempty"`
 
 	Routes       *routes.Document `cbor:"4,keyasint,omitempty"` // unpacked; written by earlier versions only
-	RetireVM     string           `cbor:"5,keyasint,omitempty"` // VM to decommission
+	RetireVM     string           `cbor:"5,keyasint,omitempty"` // VM to retire
 	PackedRoutes routes.Packed    `cbor:"6,keyasint,omitempty"`
 }
 
--- a/internal/keeper/configmachine.go
+++ b/internal/keeper/configmachine.go
@@ -19,7 +19,7 @@
 	tenures  *tenure.Table
 	routes   *routes.Registry
 	matcher  *routes.Matcher // of the routes in force
-	retired  []string        // decommissioned VMs
+	retired  []string        // retired VMs
 	changed  notifier
 }
 
@@ -34,7 +34,7 @@
 
 // Apply executes one operation and returns its encoded result: a team.Outcome for
 // a change, a tenure.Grant for the grant or end of a tenure, a routes.Outcome for
-// new routes, and the decommissioned VMs for a decommissioning.
+// new routes, and the list of retired VMs for a retirement.
 func (m *ConfigMachine) Apply(entry replica.Entry) []byte {
 	var cmd configCommand
 	err := codec.Unmarshal(entry.Data, &cmd)
@@ -63,7 +63,7 @@
 	return codec.MustMarshal(m.retired)
 }
 
-// Retired returns the decommissioned VMs, according to the entries that this VM has
+// Retired returns the retired VMs, according to the entries that this VM has
 // applied.
 func (m *ConfigMachine) Retired() []string {
 	m.mu.RLock()
--- a/internal/keeper/jobcalls.go
+++ b/internal/keeper/jobcalls.go
@@ -41,7 +41,7 @@
 }
 
 // machineAfterBarrier returns the machine of a group after a read barrier: its
-// state includes everything that any caller was answered before this call.
+// state includes every change that was acknowledged before this call.
 func (s *Service) machineAfterBarrier(ctx context.Context, group uint32) (*JobMachine, error) {
 	machine, err := s.machine(group)
 	if err != nil {
@@ -54,10 +54,10 @@
 }
 
 // leaderMachine returns the machine of a group that this VM leads, with all entries from
-// before its term applied, since a new leader may not know all open sessions before. It runs
+// before its term applied; a new leader may not know all open sessions until then. It runs
 // one read barrier per term; one per call would make the calls of idle gates most of the
-// messages between keepers. A replaced leader may still answer from this state: it is used
-// for hints, and for heartbeats, which renew nothing at the leader's successor.
+// messages between keepers. A replaced leader may still answer from this state, so it is
+// used only for hints and for heartbeats, which renew nothing at the leader's successor.
 func (s *Service) leaderMachine(ctx context.Context, group uint32) (*JobMachine, error) {
 	machine, err := s.machine(group)
 	if err != nil || s.termConfirmed(group) {
--- a/internal/keeper/keeperapi/api.go
+++ b/internal/keeper/keeperapi/api.go
@@ -107,7 +107,7 @@
 	ReadItem      rpc.Procedure[ReadItemRequest, Reply[ReadItemResponse]]       = "/slateway.keeper/ReadItem"
 )
 
-// RetireVM decommissions a VM, which must then hold no replicated state.
+// RetireVM retires a VM, which must then hold no replicated state.
 const RetireVM rpc.Procedure[RetireRequest, Reply[RetireResponse]] = "/slateway.keeper/RetireVM"
 
 // RetireRequest is the request of RetireVM.
@@ -115,7 +115,7 @@
 	VM string
 }
 
-// RetireResponse confirms that the decommissioning is committed.
+// RetireResponse confirms that the retirement is committed.
 type RetireResponse struct{}
 
 // ReadRoutesRequest is the request for the routes in force.
--- a/internal/keeper/keeperclient/config.go
+++ b/internal/keeper/keeperclient/config.go
@@ -58,7 +58,7 @@
 	return call(ctx, c, keeperapi.ConfigGroup, 0, keeperapi.ReplaceRoutes, document)
 }
 
-// RetireVM decommissions a VM, which must then hold no replicated state.
+// RetireVM retires a VM, which must then hold no replicated state.
 func (c *Client) RetireVM(ctx context.Context, vm string) error {
 	_, err := call(ctx, c, keeperapi.ConfigGroup, 0, keeperapi.RetireVM, &keeperapi.RetireRequest{VM: vm})
 	return err
--- a/internal/keeper/keeperclient/session.go
+++ b/internal/keeper/keeperclient/session.go
@@ -82,7 +82,7 @@
 	return job.SessionID(fmt.Sprintf("%s/%d", s.id, epoch))
 }
 
-// replaceIfEnded reports whether err says that the keepers have ended the session in
+// replaceIfEnded reports whether err means that the keepers have ended the session in
 // a group, because it was not renewed in time. If so, a new ID replaces the ended
 // one. Items of the ended session may be leased to others while they still run here;
 // the first result counts.
--- a/internal/keeper/service.go
+++ b/internal/keeper/service.go
@@ -166,7 +166,7 @@
 	case errors.As(err, &stopped):
 		return apierr.New(apierr.Unavailable, keeperapi.ReasonUnavailable, "ask another keeper", "%v", err)
 	case errors.As(err, &overloaded):
-		return apierr.New(apierr.Overloaded, keeperapi.ReasonOverloaded, "ask again later", "%v", err).WithRetryAfter(overloadRetry)
+		return apierr.New(apierr.Overloaded, keeperapi.ReasonOverloaded, "retry later", "%v", err).WithRetryAfter(overloadRetry)
 	case errors.Is(err, context.DeadlineExceeded), errors.Is(err, context.Canceled):
 		return apierr.New(apierr.Unavailable, keeperapi.ReasonOutcomeUnknown, "send the same call again", "the call was cancelled or timed out: %v", err).WithRan(apierr.RanUnknown)
 	default:
--- a/internal/quorum/progress.go
+++ b/internal/quorum/progress.go
@@ -68,7 +68,7 @@
 
 // acknowledge records that the member holds all entries up to index. query is the
 // number of the position query that the response answers; zero if it answers none.
-func (p *progress) acknowledge(index, question uint64) {
+func (p *progress) acknowledge(index, query uint64) {
 	if p.inflight > 0 {
 		p.inflight--
 	}
@@ -78,7 +78,7 @@
 		p.next = max(p.next, p.match+1)
 		return
 	}
-	if p.querying && !grew && question != p.query {
+	if p.querying && !grew && query != p.query {
 		// A delayed response to an earlier append or probe.
 		return
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,7 +12,7 @@
 	"slateway.example/slateway/internal/settings"
 )
 
-// smallSite is the settings file of a smallSite site.
+// smallSite is the settings file of a small site.
 const smallSite = `
 [vm]
 name = "vm1"
