--- a/internal/keeper/offers.go
+++ b/internal/keeper/offers.go
@@ -19,11 +19,6 @@
 // offers distributes items among the gates that wait for some: the least loaded first, each
 // for no more than its share. Items that a gate does not lease are offered to the next one
 // when the offer, which is only a hint, expires.
-//
-// Without offers a new job would wake all waiting gates, and the leader would spend its CPU
-// time on empty answers. The first gate would lease all items: its engines would be full
-// while others are idle, each item would take several times as long, and online requests
-// would preempt it.
 type offers struct {
 	mu      sync.Mutex
 	open    map[offerKey]offer
@@ -64,7 +59,8 @@
 
 // makeOffer reports whether there is an item for the waiting session that is not
 // offered to another one and that no less loaded session waits for. If so, it
-// offers the session its share.
+// offers the session its share. Otherwise a new job would wake all waiting gates, and
+// the leader would spend its CPU time on empty answers.
 func (o *offers) makeOffer(group uint32, session job.SessionID, wants []job.QueueDemand, ready readyItems, now time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -105,7 +101,9 @@
 }
 
 // fairShare returns the number of items of the queue that the session may lease,
-// given the other sessions that wait for them.
+// given the other sessions that wait for them. A gate that leased all items would have
+// full engines while others are idle: each item would take several times as long, and
+// online requests would preempt it.
 func (o *offers) fairShare(key offerKey, want job.QueueDemand, ready readyItems) int {
 	offered := o.offeredIn(key.group, want.Queue)
 	others, lessLoaded := o.competitors(key, want)
--- a/internal/replica/bootstrap.go
+++ b/internal/replica/bootstrap.go
@@ -319,12 +319,11 @@
 	return decideInitialFromVoters(h.selfMember(), h.config.Voters, responses)
 }
 
-// decideInitialFromSeeds returns the membership with which a blank member that knows only
-// seeds starts, and whether it may start. The VM at the lowest seed address chooses once,
-// after the members at all seed addresses have responded and none of them holds a group. The
-// others adopt the choice if it lists their disk. A VM that starts later, or returns with a
-// blank disk, must not be configured to bootstrap: a second group could exist beside the
-// existing one, and both would acknowledge changes.
+// decideInitialFromSeeds is decideInitialFromVoters for a member that knows only seeds. The
+// VM at the lowest seed address chooses once, after the members at all seed addresses have
+// responded and none of them holds a group; the others adopt the choice if it lists their
+// disk. A VM that starts later, or returns with a blank disk, must not be configured to
+// bootstrap: two groups could exist beside each other, and both would acknowledge changes.
 func decideInitialFromSeeds(self quorum.Member, seeds []string, bootstrap bool, responses []helloResponse) (quorum.Membership, bool) {
 	members := map[string]quorum.Member{self.Address: self}
 	for _, response := range responses {
--- a/internal/replica/repairview.go
+++ b/internal/replica/repairview.go
@@ -191,13 +191,13 @@
 // voterOfOtherClass returns a voter of another class than the preferred one, the
 // leader last.
 func (v repairView) voterOfOtherClass() (quorum.Member, bool) {
-	var least quorum.Member
+	var found quorum.Member
 	for _, member := range v.members {
-		if v.preferredClass != "" && member.Class != v.preferredClass && (least.ID == quorum.None || least.ID == v.self) {
-			least = member.Member
+		if v.preferredClass != "" && member.Class != v.preferredClass && (found.ID == quorum.None || found.ID == v.self) {
+			found = member.Member
 		}
 	}
-	return least, least.ID != quorum.None
+	return found, found.ID != quorum.None
 }
 
 // improvesClass reports whether a blank disk of the preferred class could replace a
