--- a/internal/daemon/gate.go
+++ b/internal/daemon/gate.go
@@ -68,7 +68,7 @@
 			TokenTimeout:  s.Timeouts.StreamIdle,
 		},
 		Metrics:          d.metrics,
-		SendReports:      g.exchange.SendUsage,
+		SendReports:      g.exchange.SendLoadReports,
 		BroadcastCrashes: g.exchange.SpreadCrashReports,
 		DialTimeout:      s.Timeouts.Dial,
 		DefaultTimeout:   s.Timeouts.Request,
--- a/internal/daemon/sitegate.go
+++ b/internal/daemon/sitegate.go
@@ -109,7 +109,7 @@
 		},
 		Metrics:          site.metrics,
 		Log:              site.log.Logger,
-		SendReports:      g.exchange.SendUsage,
+		SendReports:      g.exchange.SendLoadReports,
 		BroadcastCrashes: g.exchange.SpreadCrashReports,
 		Probe:            proxy.ProbeConnection,
 		DialTimeout:      s.Timeouts.Dial,
