--- a/internal/keeper/offers.go
+++ b/internal/keeper/offers.go
@@ -16,17 +16,9 @@
 	noOfferWait = time.Hour
 )
 
-// offers distributes items among the gates that wait for some. The least loaded
-// gates get an offer first, each for no more than its share.
-//
-// This prevents a thundering herd, in which a new job wakes all waiting gates, all
-// of them ask for items at once, and the leader spends its CPU time on empty
-// answers. It also keeps the first gate from leasing all items of a job: its engines
-// would be full while others are idle, each item would take several times as long,
-// and online requests would preempt it.
-//
-// An offer is a hint and not binding. Items that a gate does not lease are offered
-// to the next one when the offer expires.
+// offers distributes items among the gates that wait for some: the least loaded first, each
+// for no more than its share. Items that a gate does not lease are offered to the next one
+// when the offer, which is only a hint, expires.
 type offers struct {
 	mu      sync.Mutex
 	open    map[offerKey]offer
@@ -67,7 +59,8 @@
 
 // makeOffer reports whether there is an item for the waiting session that is not
 // offered to another one and that no less loaded session waits for. If so, it
-// offers the session its share.
+// offers the session its share. Otherwise a new job would wake all waiting gates, and
+// the leader would spend its CPU time on empty answers.
 func (o *offers) makeOffer(group uint32, session job.SessionID, wants []job.QueueDemand, ready readyItems, now time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -108,7 +101,9 @@
 }
 
 // fairShare returns the number of items of the queue that the session may lease,
-// given the other sessions that wait for them.
+// given the other sessions that wait for them. A gate that leased all items would have
+// full engines while others are idle: each item would take several times as long, and
+// online requests would preempt it.
 func (o *offers) fairShare(key offerKey, want job.QueueDemand, ready readyItems) int {
 	offered := o.offeredIn(key.group, want.Queue)
 	others, lessLoaded := o.competitors(key, want)
--- a/internal/replica/repairview.go
+++ b/internal/replica/repairview.go
@@ -20,12 +20,11 @@
 	self           quorum.ID
 }
 
-// nextChange returns the next membership change of a repair. It keeps no state of its
-// own, so a new leader continues the repair from the membership.
-//
-// A new member joins as a learner, becomes a voter once it holds the whole log, and
-// only then is the old one removed. In the opposite order a group of three would have
-// two voters, and tolerate no loss, for as long as the transfer takes.
+// nextChange returns the next membership change of a repair. It keeps no state of its own,
+// so a new leader continues the repair from the membership. A new member joins as a learner,
+// becomes a voter once it holds the whole log, and only then is the old one removed. In the
+// opposite order a group of three would have two voters, and tolerate no loss, for as long
+// as the transfer takes.
 func nextChange(v repairView) (quorum.Change, bool) {
 	voters := 0
 	for _, member := range v.members {
@@ -192,13 +191,13 @@
 // voterOfOtherClass returns a voter of another class than the preferred one, the
 // leader last.
 func (v repairView) voterOfOtherClass() (quorum.Member, bool) {
-	var least quorum.Member
+	var found quorum.Member
 	for _, member := range v.members {
-		if v.preferredClass != "" && member.Class != v.preferredClass && (least.ID == quorum.None || least.ID == v.self) {
-			least = member.Member
+		if v.preferredClass != "" && member.Class != v.preferredClass && (found.ID == quorum.None || found.ID == v.self) {
+			found = member.Member
 		}
 	}
-	return least, least.ID != quorum.None
+	return found, found.ID != quorum.None
 }
 
 // improvesClass reports whether a blank disk of the preferred class could replace a
