--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -195,8 +195,8 @@
 	result.recordFailure(ctx, CutOff, err)
 }
 
-// recordToken records a recordToken that was received at a time since the arrival and a gap
-// after the previous recordToken.
+// recordToken records a token that was received at a time since the arrival and a gap
+// after the previous token.
 func (r *Result) recordToken(sinceArrival, gap time.Duration) {
 	r.Tokens++
 	if r.Tokens == 1 {
--- a/internal/route/queue_test.go
+++ b/internal/route/queue_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// countServed counts the callers who arrived in time and were countServed within the target, and
-// the overdue ones who were countServed at all, by the prefix of their IDs.
+// countServed counts the callers who arrived in time and were served within the target, and
+// the overdue ones who were served at all, by the prefix of their IDs.
 func (l *callerSim) countServed(target time.Duration) (inTime, overdue int) {
 	for id, wait := range l.started {
 		switch {
