--- a/cmd/slatewayd/main.go
+++ b/cmd/slatewayd/main.go
@@ -49,7 +49,7 @@
 func command() *cli.Command {
 	return &cli.Command{
 		Name:      "slatewayd",
-		Usage:     "serve online and batch inference as the settings file says",
+		Usage:     "serve online and batch inference as configured in a settings file",
 		ArgsUsage: "FILE",
 		Action:    run,
 		Commands: []*cli.Command{{
